--- a/src/main/java/org/saffronshore/control/Node.java
+++ b/src/main/java/org/saffronshore/control/Node.java
@@ -222,7 +222,8 @@
     }
   }
 
-  private void handlePeer(Request request, Reply reply) {
+  /** Handles a request on the peers' address: of another controller or of an operator. */
+  public void handlePeer(Request request, Reply reply) {
     if (!peers.handle(request, reply) && !admin.handle(request, reply)) {
       reply.error(404, "no such path");
     }
