--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -74,6 +74,7 @@
           "state.Txn",
           "state.OpenCheck",
           "state.SubmissionQueue",
+          "leadership.LeaderTerm",
           "leadership.StoreLease");
 
   private static final long WHILE_MS = 1_500;
--- a/src/main/java/org/saffronshore/control/Autoscaler.java
+++ b/src/main/java/org/saffronshore/control/Autoscaler.java
@@ -19,6 +19,7 @@
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.fleet.RentalPlan;
 import org.saffronshore.http.Loop;
+import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.wire.JobSpec;
@@ -59,9 +60,8 @@
   private final Settings settings;
   private final CloudClient cloud;
   private final Metrics metrics;
-  private final Leader leader;
+  private final LeaderTerm term;
   private final Cluster cluster;
-  private final long term;
   private final MachineListPoller machineList;
   private final Consolidation consolidation;
   private final MachineReturner returner;
@@ -71,23 +71,30 @@
   private double rentAgainAt = Double.NEGATIVE_INFINITY;
   private long lastName;
 
-  Autoscaler(Node node, Leader leader, Cluster cluster, long term) {
-    this.loop = node.loop();
-    this.settings = node.settings();
-    this.cloud = node.cloud();
-    this.metrics = node.metrics();
-    this.leader = leader;
-    this.cluster = cluster;
+  Autoscaler(
+      Loop loop,
+      Settings settings,
+      CloudClient cloud,
+      Metrics metrics,
+      LeaderTerm term,
+      Cluster cluster) {
+    this.loop = loop;
+    this.settings = settings;
+    this.cloud = cloud;
+    this.metrics = metrics;
     this.term = term;
-    this.machineList = new MachineListPoller(node, leader, cluster);
-    this.consolidation = new Consolidation(node, cluster);
-    this.returner = new MachineReturner(node, leader, cluster, refusals::remove);
+    this.cluster = cluster;
+    this.machineList = new MachineListPoller(loop, cloud, term, cluster);
+    this.consolidation = new Consolidation(loop, cluster);
+    this.returner =
+        new MachineReturner(loop, settings, cloud, metrics, term, cluster, refusals::remove);
   }
 
   void start() {
     machineList.read();
-    leader.repeat(Math.max(settings.reportS(), 2 / settings.cloudRps()), machineList::read);
-    leader.repeat(settings.reportS() / 3, this::reconcile);
+    term.repeatWhileActive(
+        Math.max(settings.reportS(), 2 / settings.cloudRps()), machineList::read);
+    term.repeatWhileActive(settings.reportS() / 3, this::reconcile);
   }
 
   /** What the last cycle found no place for. */
@@ -97,7 +104,7 @@
   }
 
   private void reconcile() {
-    if (!leader.loaded()) {
+    if (!term.isLoaded()) {
       return;
     }
     returner.run();
@@ -114,10 +121,10 @@
    * be waste.
    */
   private boolean mayRent() {
-    return leader.isActive()
-        && leader.loaded()
+    return term.isActive()
+        && term.isLoaded()
         && machineList.complete()
-        && (term == 1 || loop.now() > cluster.startedAt() + settings.listLagS());
+        && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.listLagS());
   }
 
   private void rent() {
@@ -283,11 +290,11 @@
 
   private void order(MachineKind kind, int count) {
     for (int left = count;
-        left > 0 && orders.size() < maxOrders() && leader.isActive();
+        left > 0 && orders.size() < maxOrders() && term.isActive();
         left -= CloudClient.MAX_RENTED) {
       Order order =
           new Order(
-              "r-" + term + "-" + ++lastName,
+              "r-" + term.number() + "-" + ++lastName,
               kind,
               Math.min(left, CloudClient.MAX_RENTED),
               loop.now());
@@ -302,7 +309,7 @@
 
   private void answered(Order order, RentalResult result) {
     boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
-    if (unknown && leader.isActive()) {
+    if (unknown && term.isActive()) {
       // It may have been carried out: only the same name again tells, and rents nothing twice.
       loop.after(settings.reportS() / 3, () -> ask(order));
       return;
--- a/src/main/java/org/saffronshore/control/Consolidation.java
+++ b/src/main/java/org/saffronshore/control/Consolidation.java
@@ -29,8 +29,8 @@
   private final Loop loop;
   private final Cluster cluster;
 
-  Consolidation(Node node, Cluster cluster) {
-    this.loop = node.loop();
+  Consolidation(Loop loop, Cluster cluster) {
+    this.loop = loop;
     this.cluster = cluster;
   }
 
--- a/src/main/java/org/saffronshore/control/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/control/DependencyResolver.java
@@ -56,7 +56,7 @@
 
   private void read(Map<String, End> ends) {
     reading = false;
-    if (leader.ended()) {
+    if (leader.term().hasEnded()) {
       return;
     }
     boolean news = false;
--- a/src/main/java/org/saffronshore/control/JobWatcher.java
+++ b/src/main/java/org/saffronshore/control/JobWatcher.java
@@ -74,7 +74,7 @@
    * long.
    */
   void watch(long from) {
-    if (leader.ended()) {
+    if (leader.term().hasEnded()) {
       return;
     }
     double askedAt = loop.now();
@@ -83,7 +83,7 @@
         from,
         settings.cancelS() / 20,
         answer -> {
-          if (leader.ended()) {
+          if (leader.term().hasEnded()) {
             return;
           }
           if (answer.received()) {
@@ -117,7 +117,7 @@
         Keys.JOBS,
         true,
         jobs -> {
-          if (leader.ended()) {
+          if (leader.term().hasEnded()) {
             return;
           }
           if (jobs == null) {
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -13,6 +13,7 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.Client;
 import org.saffronshore.http.Loop;
+import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.peer.Progress;
 import org.saffronshore.scheduling.Plan;
@@ -46,10 +47,8 @@
   private final JobWatcher jobWatcher;
   private final TermStore termStore;
   private final DependencyResolver dependencyResolver;
-  private final long term;
+  private final LeaderTerm term;
   private final byte[] nothingToDo;
-  private boolean ended;
-  private boolean loaded;
 
   /** Calls under way: a burst of launches must not use up the connections. */
   private int commandsInFlight;
@@ -58,7 +57,6 @@
   private final CancellationFreshness cancellations;
   private final double startedAt;
   private double noStoreLeaseAt = Double.NEGATIVE_INFINITY;
-  private double awakeAt;
   private double refusedSince = Double.POSITIVE_INFINITY;
   private OperatorSettings operator = OperatorSettings.START;
 
@@ -70,16 +68,16 @@
     this.leadership = node.leadership();
     this.teamMetrics = node.teamMetrics();
     this.peers = node.peers();
-    this.term = term;
+    this.cluster = new Cluster(loop, settings, term, keyVersion);
+    this.term = new LeaderTerm(loop, settings, leadership, term, cluster::stoodStill);
     this.startedAt = loop.now();
     this.cancellations = new CancellationFreshness(settings);
     this.maxCommandsInFlight = Math.max(4, settings.sockets() / 8);
     this.nothingToDo = Json.bytes(answer(List.of()));
-    this.cluster = new Cluster(loop, settings, term, keyVersion);
     this.jobWatcher = new JobWatcher(node, this, cluster);
     this.termStore = new TermStore(node, this, cluster);
     this.dependencyResolver = new DependencyResolver(node, this, cluster, termStore);
-    this.fleet = new Autoscaler(node, this, cluster, term);
+    this.fleet = new Autoscaler(loop, settings, node.cloud(), node.metrics(), this.term, cluster);
     this.scheduling = new SchedulingLoop(node, this, cluster);
   }
 
@@ -91,92 +89,37 @@
     return fleet;
   }
 
-  boolean isActive() {
-    return !ended && leadership.isActive();
-  }
-
-  /** Whether the state service renews this leader's lease: what is decided can be written down. */
-  boolean holdsStoreLease() {
-    return !ended && leadership.holdsStoreLease();
-  }
-
-  /** Whether nobody else may act, although this node may not know enough yet to act itself. */
-  boolean holdsLease() {
-    return !ended && leadership.holdsLease();
-  }
-
-  boolean loaded() {
-    return loaded;
-  }
-
-  boolean ended() {
-    return ended;
+  LeaderTerm term() {
+    return term;
   }
 
   void end() {
-    ended = true;
+    term.end();
     teamMetrics.clear();
   }
 
   void start() {
-    awakeAt = loop.now();
     load();
     loop.after(settings.reportS() / 12, this::checkLeadership);
-    repeat(settings.reportS() / 12, this::tick);
-    repeat(settings.reportS() / 3, this::saveProgress);
-    repeat(settings.reportS(), this::readOperator);
+    term.repeatWhileActive(settings.reportS() / 12, this::tick);
+    term.repeatWhileActive(settings.reportS() / 3, this::saveProgress);
+    term.repeatWhileActive(settings.reportS(), this::readOperator);
     period();
     readOperator();
     fleet.start();
   }
 
-  /**
-   * Notices when this process stood still while its clock ran on: something is done here more often
-   * than several times in a report interval. To be called before anything is made of what was not
-   * heard.
-   */
-  void awake() {
-    double now = loop.now();
-    if (now - awakeAt > settings.reportS() / 3) {
-      LOG.info("term {}: stood still for {} s", term, Math.round(10 * (now - awakeAt)) / 10.0);
-      cluster.stoodStill();
-    }
-    awakeAt = now;
-  }
-
-  /**
-   * Runs an action again and again for as long as this term lasts, but only while this node may
-   * act.
-   */
-  void repeat(double seconds, Runnable action) {
-    loop.after(
-        seconds,
-        () -> {
-          if (ended) {
-            return;
-          }
-          awake();
-          try {
-            if (leadership.isActive()) {
-              action.run();
-            }
-          } finally {
-            repeat(seconds, action);
-          }
-        });
-  }
-
   private void period() {
     loop.after(
         operator.tuning().periodS(),
         () -> {
-          if (ended) {
+          if (term.hasEnded()) {
             return;
           }
           try {
             scheduling.cycle(true);
-            if (isActive() && loaded) {
-              LOG.info("term {}: {}", term, cluster.views().summary());
+            if (term.isActive() && term.isLoaded()) {
+              LOG.info("term {}: {}", term.number(), cluster.views().summary());
             }
           } finally {
             period();
@@ -191,7 +134,7 @@
     state.lists(
         List.of(Keys.PROGRESS, Keys.SHORT_PROGRESS, Keys.REGISTRY, Keys.LAUNCH_MARKS, Keys.JOBS),
         read -> {
-          if (ended) {
+          if (term.hasEnded()) {
             return;
           }
           if (read == null) {
@@ -203,17 +146,17 @@
           termStore.readShortProgress(read.get(Keys.SHORT_PROGRESS), done);
           jobWatcher.begin(jobs, done, termStore.readLaunchMarks(read.get(Keys.LAUNCH_MARKS)));
           termStore.begin(read.get(Keys.REGISTRY));
-          loaded = true;
+          term.markLoaded();
           cancellationsRead(askedAt);
           LOG.info(
               "term {}: {} open jobs, {} machines that may hold tasks",
-              term,
+              term.number(),
               jobs.entries().size(),
               cluster.unconfirmedCount());
           LOG.debug(
               "term {}: read from the state service: asked_s_ago={} leader_key_revision={}"
                   + " revisions={}",
-              term,
+              term.number(),
               loop.now() - askedAt,
               leadership.keyVersion(),
               revisions(read));
@@ -241,7 +184,7 @@
 
   /** A peer has told which cancellations it learned of; its answer was asked for at that moment. */
   void cancellationsTold(String peer, double askedAt, double coveredSince, List<String> jobs) {
-    if (!loaded) {
+    if (!term.isLoaded()) {
       return;
     }
     jobs.forEach(this::cancelled);
@@ -253,7 +196,7 @@
    * The state service has the job as cancelled, as this node or a peer has read or written itself.
    */
   void cancelled(String job) {
-    if (!loaded) {
+    if (!term.isLoaded()) {
       return;
     }
     cluster.ended(job, false, loop.wallMs());
@@ -270,7 +213,7 @@
   }
 
   private void saveProgress() {
-    if (loaded) {
+    if (term.isLoaded()) {
       termStore.saveProgress();
     }
   }
@@ -296,12 +239,12 @@
 
   /** The answer to a worker's report; null when this node cannot answer for the controllers now. */
   byte[] report(Report report) {
-    if (report.token() > term) {
+    if (report.token() > term.number()) {
       leadership.stepDown("worker " + report.machine() + " has seen token " + report.token());
       return null;
     }
-    awake();
-    if (!isActive() || cluster.isRemoved(report.machine())) {
+    term.detectPause();
+    if (!term.isActive() || cluster.isRemoved(report.machine())) {
       return null;
     }
     Machine machine = cluster.reported(report);
@@ -311,7 +254,7 @@
   }
 
   private ObjectNode answer(List<Command> commands) {
-    ObjectNode answer = Json.object().put("Baton", term);
+    ObjectNode answer = Json.object().put("Baton", term.number());
     Command.write(answer, commands);
     return answer;
   }
@@ -320,7 +263,7 @@
 
   /** Looks after everything that may have become due. */
   void runDueWork() {
-    if (!isActive() || !loaded) {
+    if (!term.isActive() || !term.isLoaded()) {
       return;
     }
     termStore.saveLaunchMarks();
@@ -337,7 +280,7 @@
    * itself.
    */
   private void checkLeadership() {
-    if (ended) {
+    if (term.hasEnded()) {
       return;
     }
     if (!leadership.holdsStoreLease()) {
@@ -399,7 +342,7 @@
 
   private void sendCommands() {
     // Looked at before each call: whoever stood still a moment ago may not act any more.
-    while (commandsInFlight < maxCommandsInFlight && isActive()) {
+    while (commandsInFlight < maxCommandsInFlight && term.isActive()) {
       Machine m = cluster.nextMachineWithCommands();
       if (m == null) {
         return;
@@ -418,7 +361,7 @@
         "telling machine {}: {} token={} session={}",
         call.machine().id(),
         call.commands(),
-        term,
+        term.number(),
         call.session());
     // What only asks where a machine is must not stand in the way of launches when many do not
     // answer.
@@ -440,10 +383,10 @@
                   "machine {} answered with no report: {}", call.machine().id(), e.getMessage());
             }
           }
-          if (ended) {
+          if (term.hasEnded()) {
             return;
           }
-          if (report != null && report.token() > term) {
+          if (report != null && report.token() > term.number()) {
             leadership.stepDown("worker " + report.machine() + " has seen token " + report.token());
             return;
           }
--- a/src/main/java/org/saffronshore/control/MachineListPoller.java
+++ b/src/main/java/org/saffronshore/control/MachineListPoller.java
@@ -6,20 +6,21 @@
 import org.saffronshore.cloud.MachinePage;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.http.Loop;
+import org.saffronshore.leadership.LeaderTerm;
 
 /** Keeps one term's cluster in line with the cloud's list of machines. */
 final class MachineListPoller {
   private final Loop loop;
   private final CloudClient cloud;
-  private final Leader leader;
+  private final LeaderTerm term;
   private final Cluster cluster;
   private boolean busy;
   private boolean complete;
 
-  MachineListPoller(Node node, Leader leader, Cluster cluster) {
-    this.loop = node.loop();
-    this.cloud = node.cloud();
-    this.leader = leader;
+  MachineListPoller(Loop loop, CloudClient cloud, LeaderTerm term, Cluster cluster) {
+    this.loop = loop;
+    this.cloud = cloud;
+    this.term = term;
     this.cluster = cluster;
   }
 
@@ -39,7 +40,7 @@
     cloud.list(
         after,
         page -> {
-          if (!leader.holdsLease() || page.isEmpty()) {
+          if (!term.holdsLease() || page.isEmpty()) {
             busy = false;
             return;
           }
--- a/src/main/java/org/saffronshore/control/MachineReturner.java
+++ b/src/main/java/org/saffronshore/control/MachineReturner.java
@@ -17,6 +17,7 @@
 import org.saffronshore.fleet.Arrivals;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.http.Loop;
+import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.wire.MachineType;
 import org.slf4j.Logger;
@@ -39,7 +40,7 @@
   private final Settings settings;
   private final CloudClient cloud;
   private final Metrics metrics;
-  private final Leader leader;
+  private final LeaderTerm term;
   private final Cluster cluster;
   private final Consumer<MachineKind> onReturned;
   private final Set<String> returning = new HashSet<>();
@@ -47,12 +48,19 @@
   /**
    * @param onReturned is told of the kind of each returned machine: it can be had again
    */
-  MachineReturner(Node node, Leader leader, Cluster cluster, Consumer<MachineKind> onReturned) {
-    this.loop = node.loop();
-    this.settings = node.settings();
-    this.cloud = node.cloud();
-    this.metrics = node.metrics();
-    this.leader = leader;
+  MachineReturner(
+      Loop loop,
+      Settings settings,
+      CloudClient cloud,
+      Metrics metrics,
+      LeaderTerm term,
+      Cluster cluster,
+      Consumer<MachineKind> onReturned) {
+    this.loop = loop;
+    this.settings = settings;
+    this.cloud = cloud;
+    this.metrics = metrics;
+    this.term = term;
     this.cluster = cluster;
     this.onReturned = onReturned;
   }
@@ -90,7 +98,7 @@
     // Without the state service no job can be accepted and no task launched that is not written
     // down yet: that machines are idle then says nothing of how many are needed.
     boolean idle =
-        leader.holdsStoreLease()
+        term.holdsStoreLease()
             && now > m.idleSince() + IDLE_KEPT * boot
             && now > m.rentedAt() + Consolidation.MIN_CHARGED_S;
     return idle && !spare.needs(m) ? "it is idle" : null;
@@ -177,7 +185,7 @@
                 cluster.removed(m, "returned");
               }
             }
-          } else if (leader.isActive()) {
+          } else if (term.isActive()) {
             // A successor may have given them work since: it decides whether they are to go.
             loop.after(settings.reportS() / 3, () -> returned(names));
           } else {
--- a/src/main/java/org/saffronshore/control/Node.java
+++ b/src/main/java/org/saffronshore/control/Node.java
@@ -323,7 +323,7 @@
 
   /** The leader's part of this node while it may act, or null. */
   Leader activeLeader() {
-    return leader != null && leader.isActive() ? leader : null;
+    return leader != null && leader.term().isActive() ? leader : null;
   }
 
   /** What a peer learned of cancellations, in answer to a question of the leader of that term. */
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -10,6 +10,7 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.Loop;
+import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.Cycle;
 import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Team;
@@ -29,6 +30,7 @@
   private final TeamMetrics teamMetrics;
   private final RandomGenerator random;
   private final Leader leader;
+  private final LeaderTerm term;
   private final Cluster cluster;
   private boolean planned;
   private double lastCycleS;
@@ -40,6 +42,7 @@
     this.teamMetrics = node.teamMetrics();
     this.random = node.random();
     this.leader = leader;
+    this.term = leader.term();
     this.cluster = cluster;
   }
 
@@ -62,8 +65,8 @@
    * @param evict whether tasks that run are reconsidered too
    */
   void cycle(boolean evict) {
-    leader.awake();
-    if (!leader.isActive() || !leader.loaded() || cluster.types().isEmpty()) {
+    term.detectPause();
+    if (!term.isActive() || !term.isLoaded() || cluster.types().isEmpty()) {
       return;
     }
     double began = loop.now();
@@ -73,7 +76,7 @@
     Plan plan =
         Cycle.run(
             cluster.views().hosts(),
-            cluster.views().pending(leader.holdsStoreLease()),
+            cluster.views().pending(term.holdsStoreLease()),
             teams,
             operator.tuning(),
             evict,
--- a/src/main/java/org/saffronshore/control/TermStore.java
+++ b/src/main/java/org/saffronshore/control/TermStore.java
@@ -265,7 +265,7 @@
         true,
         answer -> {
           job.saving(false);
-          if (leader.ended()) {
+          if (leader.term().hasEnded()) {
             return;
           }
           if (answer.committed()) {
@@ -293,7 +293,7 @@
         txn,
         false,
         answer -> {
-          if (leader.ended()) {
+          if (leader.term().hasEnded()) {
             return;
           }
           if (answer.committed()) {
@@ -351,7 +351,7 @@
         true,
         answer -> {
           boolean written = batch.written(state, answer);
-          if (leader.ended()) {
+          if (leader.term().hasEnded()) {
             return;
           }
           then.accept(written);
