--- a/src/main/java/org/saffronshore/control/PeerLink.java
+++ b/src/main/java/org/saffronshore/control/PeerLink.java
@@ -12,16 +12,16 @@
 import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
 import org.saffronshore.config.Settings.Peer;
-import org.saffronshore.http.Answer;
 import org.saffronshore.http.Client;
-import org.saffronshore.http.Loop;
-import org.saffronshore.http.Reply;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Request;
+import org.saffronshore.http.Responder;
+import org.saffronshore.http.Response;
 import org.saffronshore.leadership.PeerVoting;
-import org.saffronshore.peer.PeerAnswer;
+import org.saffronshore.peer.JobProgress;
 import org.saffronshore.peer.PeerMessage;
-import org.saffronshore.peer.Progress;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.peer.PeerResponse;
+import org.saffronshore.wire.InvalidFieldException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -37,10 +37,10 @@
   private static final String WITHDRAW = "/peer/giveup";
   private static final String REPORT = "/peer/report";
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final Client client;
-  private final Node node;
+  private final Controller node;
   private final double periodS;
 
   /** When a peer last answered anything. */
@@ -64,23 +64,23 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > 16 * settings.controllers();
+          return size() > 16 * settings.controllerCount();
         }
       };
 
-  private Map<String, Progress> progress = Map.of();
+  private Map<String, JobProgress> progress = Map.of();
   private long progressTerm;
 
-  PeerLink(Node node) {
+  PeerLink(Controller node) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.client = node.client();
     this.node = node;
-    this.periodS = settings.reportS() / 3;
+    this.periodS = settings.heartbeatIntervalS() / 3;
   }
 
   void start() {
-    loop.every(periodS, this::sendHeartbeat);
+    loop.scheduleWithFixedDelay(periodS, this::sendHeartbeat);
   }
 
   private void sendHeartbeat() {
@@ -95,7 +95,7 @@
           body,
           periodS * 2,
           answer -> {
-            PeerAnswer parsed = answer.ok() ? parsed(peer, answer) : null;
+            PeerResponse parsed = answer.ok() ? parsed(peer, answer) : null;
             if (parsed != null) {
               heartbeatAnswered(peer, parsed, askedAt, term);
             }
@@ -104,25 +104,25 @@
   }
 
   /** The answer of a peer, or null when it cannot be read, which counts as none. */
-  private static PeerAnswer parsed(Peer peer, Answer answer) {
+  private static PeerResponse parsed(Peer peer, Response answer) {
     try {
-      return PeerAnswer.parse(answer.body());
-    } catch (InvalidField e) {
+      return PeerResponse.parse(answer.body());
+    } catch (InvalidFieldException e) {
       LOG.warn("an answer of {} cannot be read: {}", peer.node(), e.getMessage());
       return null;
     }
   }
 
-  private void heartbeatAnswered(Peer peer, PeerAnswer answer, double askedAt, long term) {
+  private void heartbeatAnswered(Peer peer, PeerResponse answer, double askedAt, long term) {
     peerAnswered(peer);
-    received(answer.sender());
-    if (answer.granted() && term == node.leadership().term()) {
+    recordSender(answer.sender());
+    if (answer.leaseGranted() && term == node.leadership().term()) {
       node.leadership().recordGrant(peer.node(), askedAt);
     }
-    PeerAnswer.Cancellations told = answer.cancellations();
+    PeerResponse.Cancellations told = answer.cancellations();
     if (told != null) {
-      double coveredSince = loop.now() - Settings.shortestLocalTime(told.coversS());
-      node.cancellationsTold(term, peer.node(), askedAt, coveredSince, told.jobs());
+      double coveredSince = loop.now() - Settings.minLocalDuration(told.completeForS());
+      node.peerReportedCancellations(term, peer.node(), askedAt, coveredSince, told.jobs());
     }
   }
 
@@ -135,7 +135,7 @@
    * Whether an answer of this peer is to be waited for: not when it has left several heartbeats
    * unanswered.
    */
-  private boolean expected(Peer peer) {
+  private boolean isResponseExpected(Peer peer) {
     return loop.now() < reachedAt.getOrDefault(peer.node(), Double.POSITIVE_INFINITY) + 3 * periodS;
   }
 
@@ -144,9 +144,9 @@
     if (leader == null) {
       return message(PeerMessage.NO_TERM, null);
     }
-    Map<String, Progress> jobs = new LinkedHashMap<>();
+    Map<String, JobProgress> jobs = new LinkedHashMap<>();
     for (Job job : leader.cluster().jobs()) {
-      Progress now = new Progress(job.doneTasks().cardinality(), job.running());
+      JobProgress now = new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
       if (now.running() + now.done() > 0) {
         jobs.put(job.spec().id(), now);
       }
@@ -155,13 +155,13 @@
   }
 
   /** Takes what every message and answer says of its sender, and of jobs. */
-  private void received(PeerMessage message) {
+  private void recordSender(PeerMessage message) {
     if (message.node() != null) {
-      servedAt.merge(message.node(), loop.now() - message.servedAgoS(), Math::max);
+      servedAt.merge(message.node(), loop.now() - message.stateServiceAvailableAgoS(), Math::max);
     }
-    if (message.progress() != null && message.term() >= progressTerm) {
+    if (message.jobProgress() != null && message.term() >= progressTerm) {
       progressTerm = message.term();
-      progress = message.progress();
+      progress = message.jobProgress();
     }
   }
 
@@ -169,13 +169,13 @@
    * Whether this node is alone as far as it can tell: it has peers, and none has answered for a
    * while.
    */
-  boolean alone(double forS) {
+  boolean isIsolated(double forS) {
     return !settings.peers().isEmpty() && loop.now() > answeredAt + forS;
   }
 
   /** Whether no peer has been heard either, in answers or by itself. */
-  boolean cutOff(double forS) {
-    return alone(forS) && loop.now() > heardAt + forS;
+  boolean isCutOff(double forS) {
+    return isIsolated(forS) && loop.now() > heardAt + forS;
   }
 
   /**
@@ -190,7 +190,7 @@
             "POST",
             REPORT,
             report,
-            settings.reportS() * 2 / 3,
+            settings.heartbeatIntervalS() * 2 / 3,
             answer -> then.accept(answer.ok() ? answer.body() : null));
         return;
       }
@@ -198,22 +198,22 @@
     then.accept(null);
   }
 
-  private void relayed(Request request, Reply reply) {
-    byte[] answer = node.reportAnswer(request, reply);
+  private void relayed(Request request, Responder reply) {
+    byte[] answer = node.relayedHeartbeatResponse(request, reply);
     if (answer == null) {
-      reply.later(503, "not the leader", 1);
+      reply.retryLater(503, "not the leader", 1);
     } else {
-      reply.send(200, Reply.JSON, answer, 0);
+      reply.send(200, Responder.CONTENT_TYPE_JSON, answer, 0);
     }
   }
 
-  private PeerMessage message(long term, Map<String, Progress> jobs) {
+  private PeerMessage message(long term, Map<String, JobProgress> jobs) {
     return new PeerMessage(
         settings.node(),
         node.leadership().incarnation(),
         ++sent,
-        node.served(),
-        loop.now() - node.state().answeredAt(),
+        node.isStateServiceAvailable(),
+        loop.now() - node.state().lastResponseAt(),
         term,
         jobs);
   }
@@ -223,13 +223,13 @@
    * withdrawal of a candidate that has asked again since, and leads, would otherwise release the
    * leases that it leads on.
    */
-  private boolean outdated(PeerMessage message) {
+  private boolean isOutdated(PeerMessage message) {
     String process = message.node() + "/" + message.incarnation();
     Long last = latest.get(process);
-    if (last != null && message.number() <= last) {
+    if (last != null && message.sequence() <= last) {
       return true;
     }
-    latest.put(process, message.number());
+    latest.put(process, message.sequence());
     return false;
   }
 
@@ -239,7 +239,7 @@
     Set<Peer> missing = new HashSet<>(settings.peers());
     // Those who have not been there for a while are asked too, but the leases of the others are not
     // held for them.
-    missing.removeIf(peer -> !expected(peer));
+    missing.removeIf(peer -> !isResponseExpected(peer));
     boolean[] told = new boolean[1];
     Runnable tell =
         () -> {
@@ -257,10 +257,10 @@
           body,
           periodS / 2,
           answer -> {
-            PeerAnswer vote = answer.ok() ? parsed(peer, answer) : null;
+            PeerResponse vote = answer.ok() ? parsed(peer, answer) : null;
             if (vote != null && vote.sender().incarnation() != null) {
               peerAnswered(peer);
-              votes.add(new Vote(peer.node(), vote.sender().incarnation(), vote.granted()));
+              votes.add(new Vote(peer.node(), vote.sender().incarnation(), vote.leaseGranted()));
             }
             missing.remove(peer);
             tell.run();
@@ -278,7 +278,7 @@
   }
 
   /** Answers what is meant for the peer link; false when the path is not. */
-  boolean handle(Request request, Reply reply) {
+  boolean handle(Request request, Responder reply) {
     String path = request.path();
     if (path.equals(REPORT)) {
       relayed(request, reply);
@@ -289,8 +289,8 @@
     }
     PeerMessage message;
     try {
-      message = PeerMessage.parse(request.is("POST") ? request.body() : null);
-    } catch (InvalidField e) {
+      message = PeerMessage.parse(request.hasMethod("POST") ? request.body() : null);
+    } catch (InvalidFieldException e) {
       LOG.warn("a message between controllers cannot be read: {}", e.getMessage());
       reply.error(400, e.getMessage());
       return true;
@@ -300,32 +300,32 @@
     return true;
   }
 
-  private PeerAnswer answer(String path, PeerMessage message) {
+  private PeerResponse answer(String path, PeerMessage message) {
     boolean candidate = path.equals(VOTE);
     boolean withdrawn = path.equals(WITHDRAW);
     boolean leads = path.equals(HEARTBEAT) && message.term() != PeerMessage.NO_TERM;
     PeerMessage self = message(PeerMessage.NO_TERM, null);
-    if (outdated(message)) {
-      return new PeerAnswer(self, false, null);
+    if (isOutdated(message)) {
+      return new PeerResponse(self, false, null);
     }
     if (withdrawn) {
-      node.leadership().peerWithdrew(message.node(), message.incarnation(), message.term());
-      return new PeerAnswer(self, false, null);
+      node.leadership().recordWithdrawal(message.node(), message.incarnation(), message.term());
+      return new PeerResponse(self, false, null);
     }
     if (path.equals(HEARTBEAT)) {
-      received(message);
+      recordSender(message);
     }
     boolean granted =
         message.term() != PeerMessage.NO_TERM
             && node.leadership()
-                .grant(
+                .grantLease(
                     message.node(),
                     message.incarnation(),
                     message.term(),
                     candidate,
-                    message.served(),
-                    node.served());
-    return new PeerAnswer(self, granted, leads ? cancellations() : null);
+                    message.stateServiceAvailable(),
+                    node.isStateServiceAvailable());
+    return new PeerResponse(self, granted, leads ? cancellations() : null);
   }
 
   /**
@@ -333,19 +333,19 @@
    * cancelled, so that it stops the tasks at once; and for how long nothing is missing, so that in
    * an outage it may go on with others.
    */
-  private PeerAnswer.Cancellations cancellations() {
-    return new PeerAnswer.Cancellations(
-        node.store().recentlyCancelled(), node.store().cancellationsCoverS());
+  private PeerResponse.Cancellations cancellations() {
+    return new PeerResponse.Cancellations(
+        node.store().recentlyCancelled(), node.store().cancellationsCompleteForS());
   }
 
   /**
    * Whether the state service has served some peer since that moment, and for some time after it.
    */
-  boolean servedSince(double moment) {
+  boolean anyPeerServedSince(double moment) {
     return servedAt.values().stream().anyMatch(at -> at > moment + 2 * periodS);
   }
 
-  Progress progress(String job) {
-    return progress.getOrDefault(job, Progress.NONE);
+  JobProgress progress(String job) {
+    return progress.getOrDefault(job, JobProgress.NONE);
   }
 }
--- a/src/main/java/org/saffronshore/control/TeamMetrics.java
+++ b/src/main/java/org/saffronshore/control/QuotaMetrics.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import org.saffronshore.admin.Metrics;
-import org.saffronshore.scheduling.Plan;
+import org.saffronshore.scheduling.QuotaUsage;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.scheduling.Team;
-import org.saffronshore.scheduling.TeamUse;
 
 /**
  * What counts against each team's limit, and what the limits hold back, as metrics: of the last
  * cycle of this controller, and nothing while it does not lead.
  */
-final class TeamMetrics {
-  private final Map<String, TeamUse> latest = new HashMap<>();
+final class QuotaMetrics {
+  private final Map<String, QuotaUsage> latest = new HashMap<>();
   private final Map<String, HeldBack> heldBack = new HashMap<>();
 
   /** Cycles in which the limit held back a team's tasks, by whether all machines were known. */
@@ -23,13 +23,13 @@
     long byUnaccounted;
   }
 
-  TeamMetrics(Metrics metrics, Collection<String> teams) {
+  QuotaMetrics(Metrics metrics, Collection<String> teams) {
     for (String team : teams) {
-      gauge(metrics, team, "running", TeamUse.Amounts::running);
-      gauge(metrics, team, "launched", TeamUse.Amounts::launched);
-      gauge(metrics, team, "possible", TeamUse.Amounts::possible);
-      gauge(metrics, team, "possibly_held", TeamUse.Amounts::possiblyHeld);
-      gauge(metrics, team, "limit", TeamUse.Amounts::limit);
+      gauge(metrics, team, "running", QuotaUsage.Amounts::running);
+      gauge(metrics, team, "launched", QuotaUsage.Amounts::launched);
+      gauge(metrics, team, "possible", QuotaUsage.Amounts::possible);
+      gauge(metrics, team, "possibly_held", QuotaUsage.Amounts::possiblyHeld);
+      gauge(metrics, team, "limit", QuotaUsage.Amounts::limit);
       HeldBack counts = new HeldBack();
       heldBack.put(team, counts);
       String name = "cycles_held_back_by_limit";
@@ -39,26 +39,28 @@
   }
 
   private void gauge(
-      Metrics metrics, String team, String kind, ToDoubleFunction<TeamUse.Amounts> amount) {
+      Metrics metrics, String team, String kind, ToDoubleFunction<QuotaUsage.Amounts> amount) {
     metrics.gauge("team_cpus", () -> cpus(team, amount), "team", team, "kind", kind);
     metrics.gauge("team_gpus", () -> gpus(team, amount), "team", team, "kind", kind);
   }
 
-  private double cpus(String team, ToDoubleFunction<TeamUse.Amounts> amount) {
-    TeamUse use = latest.get(team);
+  private double cpus(String team, ToDoubleFunction<QuotaUsage.Amounts> amount) {
+    QuotaUsage use = latest.get(team);
     return use == null ? 0 : amount.applyAsDouble(use.cpus());
   }
 
-  private double gpus(String team, ToDoubleFunction<TeamUse.Amounts> amount) {
-    TeamUse use = latest.get(team);
+  private double gpus(String team, ToDoubleFunction<QuotaUsage.Amounts> amount) {
+    QuotaUsage use = latest.get(team);
     return use == null ? 0 : amount.applyAsDouble(use.gpus());
   }
 
   /** A cycle has ended: what counts now, with what it placed. */
-  void cycled(Collection<Team> teams, Collection<Plan.LimitedTasks> limited) {
+  void cycleCompleted(
+      Collection<Team> teams, Collection<SchedulingPlan.QuotaLimitedTasks> limited) {
     teams.forEach(team -> latest.put(team.use().team(), team.use()));
     Map<String, Boolean> byUnaccounted = new HashMap<>();
-    limited.forEach(l -> byUnaccounted.merge(l.job().team(), l.unaccounted(), Boolean::logicalAnd));
+    limited.forEach(
+        l -> byUnaccounted.merge(l.job().team(), l.onlyByUnreconciled(), Boolean::logicalAnd));
     byUnaccounted.forEach(
         (team, unaccounted) -> {
           HeldBack counts = heldBack.get(team);
--- a/src/main/java/org/saffronshore/control/Redirects.java
+++ b/src/main/java/org/saffronshore/control/RedirectTracker.java
@@ -2,20 +2,20 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * Remembers which workers were sent to the leader. One that is back soon after could not reach it:
  * its reports are relayed from then on, so that its lease does not run out because of a network
  * that is cut in one place only.
  */
-final class Redirects {
+final class RedirectTracker {
   /** Whoever was sent away so many report intervals ago is not coming back from there. */
   private static final double KEPT_REPORTS = 5;
 
   private record Sent(String to, double at, boolean relays) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final double reportS;
   private final Map<String, Sent> workers =
       new LinkedHashMap<>() {
@@ -28,13 +28,13 @@
         }
       };
 
-  Redirects(Loop loop, double reportS) {
+  RedirectTracker(EventLoop loop, double reportS) {
     this.loop = loop;
     this.reportS = reportS;
   }
 
   /** Whether the worker came back from that leader; if not, it counts as sent there now. */
-  boolean cameBack(String worker, String leader) {
+  boolean shouldRelay(String worker, String leader) {
     Sent sent = workers.remove(worker);
     double now = loop.now();
     // A worker waits up to 4 s for the leader's answer, and a second before it tries the next node.
@@ -47,7 +47,7 @@
   }
 
   /** Its report was relayed: the next one is, too, if it comes in time. */
-  void relayed(String worker, String leader) {
+  void recordRelayed(String worker, String leader) {
     workers.remove(worker);
     workers.put(worker, new Sent(leader, loop.now(), true));
   }
--- a/src/main/java/org/saffronshore/control/MachineReturner.java
+++ b/src/main/java/org/saffronshore/control/ScaleIn.java
@@ -14,9 +14,9 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Machine;
 import org.saffronshore.config.Settings;
-import org.saffronshore.fleet.Arrivals;
+import org.saffronshore.fleet.ArrivalStatistics;
 import org.saffronshore.fleet.MachineKind;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.wire.MachineType;
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Returns machines that are idle, lost, faulty or about to be taken back, for one term. */
-final class MachineReturner {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
   /** Machines that boot for longer than this multiple of the usual time are given up. */
   private static final double LOST_BOOT = 3;
@@ -36,7 +36,7 @@
   /** Room for this many typical jobs of each class is kept although it is idle. */
   private static final double SPARE_JOBS = 1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final CloudClient cloud;
   private final Metrics metrics;
@@ -48,8 +48,8 @@
   /**
    * @param onReturned is told of the kind of each returned machine: it can be had again
    */
-  MachineReturner(
-      Loop loop,
+  ScaleIn(
+      EventLoop loop,
       Settings settings,
       CloudClient cloud,
       Metrics metrics,
@@ -67,32 +67,32 @@
 
   /** Why a machine is to be returned, or null when it is kept. */
   private String reason(Machine m, double now, Spare spare) {
-    MachineType type = m.type() == null ? null : cluster.types().get(m.type());
-    double boot = type == null ? settings.leaseS() : type.bootS();
-    if (m.failed()) {
+    MachineType type = m.type() == null ? null : cluster.machineTypes().get(m.type());
+    double boot = type == null ? settings.workerLeaseS() : type.bootS();
+    if (m.hasFailed()) {
       return "it has failed";
     }
-    if (!m.everUp()) {
+    if (!m.wasEverUp()) {
       boolean lost = now > m.rentedAt() + LOST_BOOT * boot;
-      return lost && m.empty() && !cluster.isUnconfirmed(m) ? "it never came up" : null;
+      return lost && m.isEmpty() && !cluster.isUnreconciled(m) ? "it never came up" : null;
     }
-    if (!m.up()) {
+    if (!m.isUp()) {
       return "it is lost";
     }
     if (cluster.unresponsiveMachines().isUnusable(m)) {
       return "it does not respond to commands";
     }
-    return m.empty() && m.confirmed() ? reasonWhenEmpty(m, now, boot, spare) : null;
+    return m.isEmpty() && m.isReconciled() ? reasonWhenEmpty(m, now, boot, spare) : null;
   }
 
   private String reasonWhenEmpty(Machine m, double now, double boot, Spare spare) {
-    if (m.draining()) {
+    if (m.isDraining()) {
       return "its tasks went elsewhere";
     }
-    if (m.distrusted()) {
+    if (m.isQuarantined()) {
       return "it fails its tasks";
     }
-    if (m.noticed()) {
+    if (m.hasPreemptionNotice()) {
       return "it is to be taken back, and is empty";
     }
     // Without the state service no job can be accepted and no task launched that is not written
@@ -110,17 +110,17 @@
    */
   private final class Spare {
     private final Map<Machine, Resources> rooms = new HashMap<>();
-    private final Map<Arrivals.Expected, Double> fitting = new LinkedHashMap<>();
+    private final Map<ArrivalStatistics.ExpectedJob, Double> fitting = new LinkedHashMap<>();
 
     Spare(double now) {
       double boot =
-          cluster.types().values().stream()
+          cluster.machineTypes().values().stream()
               .mapToDouble(MachineType::bootS)
               .max()
-              .orElse(settings.leaseS());
-      cluster.arrivals().expected(now, boot / 2).forEach(e -> fitting.put(e, 0.0));
+              .orElse(settings.workerLeaseS());
+      cluster.arrivals().expectedJobs(now, boot / 2).forEach(e -> fitting.put(e, 0.0));
       for (Machine m : cluster.machines()) {
-        Resources room = returning.contains(m.id()) ? null : cluster.views().freeOn(m);
+        Resources room = returning.contains(m.id()) ? null : cluster.view().freeOn(m);
         if (room != null) {
           rooms.put(m, room);
           fitting.replaceAll((e, sum) -> sum + on(m, e));
@@ -128,9 +128,11 @@
       }
     }
 
-    private double on(Machine m, Arrivals.Expected e) {
+    private double on(Machine m, ArrivalStatistics.ExpectedJob e) {
       Resources room = rooms.get(m);
-      return room == null || !m.kind().allows(e.task()) ? 0 : Arrivals.fitting(room, e.task());
+      return room == null || !m.kind().allows(e.task())
+          ? 0
+          : ArrivalStatistics.fitting(room, e.task());
     }
 
     /** Whether a typical job of some class would find no room without this machine. */
@@ -149,17 +151,17 @@
   }
 
   /** Returns machines that are of no use any more. */
-  void run() {
+  void returnUnneeded() {
     double now = loop.now();
     List<String> names = new ArrayList<>();
     List<Machine> dearFirst = new ArrayList<>(cluster.machines());
-    dearFirst.sort(Comparator.comparing(Machine::spot));
+    dearFirst.sort(Comparator.comparing(Machine::isSpot));
     Spare spare = new Spare(now);
     for (Machine m : dearFirst) {
       String why = returning.contains(m.id()) ? null : reason(m, now, spare);
-      if (why != null && names.size() < CloudClient.MAX_RETURNED) {
+      if (why != null && names.size() < CloudClient.MAX_MACHINES_RETURNED) {
         LOG.debug("returning machine {}: {}", m.id(), why);
-        cluster.returning(m);
+        cluster.markReturning(m);
         returning.add(m.id());
         names.add(m.id());
         spare.without(m);
@@ -176,18 +178,18 @@
         returned -> {
           if (returned) {
             returning.removeAll(names);
-            metrics.add(Metrics.Count.RETURNED, names.size());
+            metrics.increment(Metrics.Counter.RETURNED, names.size());
             for (String name : names) {
               Machine m = cluster.machine(name);
               if (m != null) {
                 // What was given back can be had again.
                 onReturned.accept(m.kind());
-                cluster.removed(m, "returned");
+                cluster.machineRemoved(m, "returned");
               }
             }
           } else if (term.isActive()) {
             // A successor may have given them work since: it decides whether they are to go.
-            loop.after(settings.reportS() / 3, () -> returned(names));
+            loop.schedule(settings.heartbeatIntervalS() / 3, () -> returned(names));
           } else {
             returning.removeAll(names);
           }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -9,10 +9,10 @@
 import org.saffronshore.cluster.Attempt;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
-import org.saffronshore.scheduling.Cycle;
-import org.saffronshore.scheduling.Plan;
+import org.saffronshore.scheduling.SchedulingCycle;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.scheduling.Team;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,18 +24,18 @@
   /** Cycles that follow a change may take this share of the time: the rest is for reports. */
   private static final double CYCLE_SHARE = 0.15;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final Metrics metrics;
-  private final TeamMetrics teamMetrics;
+  private final QuotaMetrics teamMetrics;
   private final RandomGenerator random;
   private final Leader leader;
   private final LeaderTerm term;
   private final Cluster cluster;
-  private boolean planned;
+  private boolean cycleRequested;
   private double lastCycleS;
 
-  SchedulingLoop(Node node, Leader leader, Cluster cluster) {
+  SchedulingLoop(Controller node, Leader leader, Cluster cluster) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.metrics = node.metrics();
@@ -47,14 +47,14 @@
   }
 
   /** Something has changed: a cycle follows soon, one for all changes until then. */
-  void plan() {
-    if (!planned) {
-      planned = true;
-      loop.after(
-          Math.max(settings.reportS() / 100, lastCycleS / CYCLE_SHARE),
+  void requestCycle() {
+    if (!cycleRequested) {
+      cycleRequested = true;
+      loop.schedule(
+          Math.max(settings.heartbeatIntervalS() / 100, lastCycleS / CYCLE_SHARE),
           () -> {
-            planned = false;
-            cycle(false);
+            cycleRequested = false;
+            runCycle(false);
           });
     }
   }
@@ -64,66 +64,66 @@
    *
    * @param evict whether tasks that run are reconsidered too
    */
-  void cycle(boolean evict) {
+  void runCycle(boolean evict) {
     term.detectPause();
-    if (!term.isActive() || !term.isLoaded() || cluster.types().isEmpty()) {
+    if (!term.isActive() || !term.isLoaded() || cluster.machineTypes().isEmpty()) {
       return;
     }
     double began = loop.now();
-    cluster.takeChanged();
+    cluster.consumeChanged();
     OperatorSettings operator = leader.operator();
-    Map<String, Team> teams = cluster.views().teams(operator.tuning(), operator.teamWeights());
-    Plan plan =
-        Cycle.run(
-            cluster.views().hosts(),
-            cluster.views().pending(term.holdsStoreLease()),
+    Map<String, Team> teams = cluster.view().teams(operator.scheduling(), operator.teamWeights());
+    SchedulingPlan plan =
+        SchedulingCycle.run(
+            cluster.view().hosts(),
+            cluster.view().pending(term.holdsStoreLease()),
             teams,
-            operator.tuning(),
+            operator.scheduling(),
             evict,
             random,
             began);
     plan.placements().forEach(this::place);
-    for (Plan.Stop s : plan.stops()) {
-      cluster.stop(s.task(), s.host(), s.why());
+    for (SchedulingPlan.Preemption s : plan.preemptions()) {
+      cluster.stop(s.task(), s.machine(), s.reason());
     }
-    teamMetrics.cycled(teams.values(), plan.limited());
+    teamMetrics.cycleCompleted(teams.values(), plan.quotaLimited());
     logLimited(plan);
-    metrics.add(Metrics.Count.CYCLES, 1);
-    metrics.add(Metrics.Count.PLACED, plan.placements().size());
-    metrics.add(Metrics.Count.STOPPED, plan.stops().size());
+    metrics.increment(Metrics.Counter.CYCLES, 1);
+    metrics.increment(Metrics.Counter.PLACED, plan.placements().size());
+    metrics.increment(Metrics.Counter.STOPPED, plan.preemptions().size());
     lastCycleS = loop.now() - began;
-    metrics.took(Metrics.Latency.CYCLE, lastCycleS);
-    leader.cycled(plan);
+    metrics.recordLatency(Metrics.Latency.CYCLE, lastCycleS);
+    leader.cycleCompleted(plan);
   }
 
-  private void place(Plan.Placement p) {
-    Optional<Attempt> attempt = cluster.place(p.task(), p.host(), p.overdue());
+  private void place(SchedulingPlan.Placement p) {
+    Optional<Attempt> attempt = cluster.place(p.task(), p.machine(), p.overdue());
     LOG.debug(
         "placing task {} on {}: attempt={} term={} unaccounted={} counted before: {}",
         p.task(),
-        p.host(),
+        p.machine(),
         attempt.map(Attempt::number).orElse(0L),
         cluster.term(),
-        cluster.unconfirmedCount(),
+        cluster.unreconciledCount(),
         p.counted());
   }
 
   /** One line for each team that its limit holds back in a cycle, however many jobs that is. */
-  private void logLimited(Plan plan) {
+  private void logLimited(SchedulingPlan plan) {
     if (!LOG.isDebugEnabled()) {
       return;
     }
-    Map<String, Plan.LimitedTasks> first = new LinkedHashMap<>();
-    plan.limited().forEach(l -> first.putIfAbsent(l.job().team(), l));
-    for (Plan.LimitedTasks l : first.values()) {
+    Map<String, SchedulingPlan.QuotaLimitedTasks> first = new LinkedHashMap<>();
+    plan.quotaLimited().forEach(l -> first.putIfAbsent(l.job().team(), l));
+    for (SchedulingPlan.QuotaLimitedTasks l : first.values()) {
       LOG.debug(
           "limit holds back job={} tasks={} term={} unaccounted={} only_by_unaccounted={}"
               + " counted: {}",
           l.job().id(),
           l.tasks(),
           cluster.term(),
-          cluster.unconfirmedCount(),
-          l.unaccounted(),
+          cluster.unreconciledCount(),
+          l.onlyByUnreconciled(),
           l.counted());
     }
   }
--- a/src/main/java/org/saffronshore/control/TermStore.java
+++ b/src/main/java/org/saffronshore/control/TermStore.java
@@ -21,14 +21,14 @@
 import org.saffronshore.cluster.Job;
 import org.saffronshore.cluster.Machine;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.state.CommitResult;
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.Transaction;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.TaskId;
@@ -69,7 +69,7 @@
   /** A transaction may be 64 KiB long; this leaves room for its guards. */
   private static final int MAX_TXN_BYTES = 40 * 1024;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final StateClient state;
   private final JobStore store;
@@ -95,7 +95,7 @@
   private double finishAgainAt = Double.NEGATIVE_INFINITY;
   private double registryRetryAt = Double.NEGATIVE_INFINITY;
 
-  TermStore(Node node, Leader leader, Cluster cluster) {
+  TermStore(Controller node, Leader leader, Cluster cluster) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.state = node.state();
@@ -103,34 +103,35 @@
     this.leadership = node.leadership();
     this.leader = leader;
     this.cluster = cluster;
-    int fill = (int) Math.min(PAGE_BYTES, settings.valueKb() * 1024 * FILLED);
-    int most = (int) (settings.valueKb() * 1024 * GROWN);
+    int fill = (int) Math.min(PAGE_BYTES, settings.maxValueKb() * 1024 * FILLED);
+    int most = (int) (settings.maxValueKb() * 1024 * GROWN);
     int shortPiece = PIECE;
     while (shortPiece > Byte.SIZE && shortPiece / 6 + NAME_BYTES > most) {
       shortPiece /= 2;
     }
     this.shortPiece = shortPiece;
-    this.shortProgress = new PagedRecords(Keys.SHORT_PROGRESS, fill, most);
-    this.progress = new PagedRecords(Keys.PROGRESS, fill, most);
-    this.registry = new PagedRecords(Keys.REGISTRY, fill, most);
-    this.launchMark = new PagedRecords(Keys.LAUNCH_MARKS, fill, most);
+    this.shortProgress = new PagedRecords(Keys.FINISHED_TASKS_SHORT_CHUNKS, fill, most);
+    this.progress = new PagedRecords(Keys.FINISHED_TASKS, fill, most);
+    this.registry = new PagedRecords(Keys.MACHINE_REGISTRY, fill, most);
+    this.launchMark = new PagedRecords(Keys.LAUNCH_WATERMARKS, fill, most);
   }
 
   // What earlier terms wrote
 
   /** The finished tasks of each job. */
-  Map<String, BitSet> readProgress(StateClient.Listing stored) {
+  Map<String, BitSet> readFinishedTasks(StateClient.Listing stored) {
     Map<String, BitSet> done = new HashMap<>();
     progress.read(stored.entries(), (name, value) -> finished(done, name, value, PIECE));
     return done;
   }
 
   /** The same of jobs that have shorter pieces. */
-  void readShortProgress(StateClient.Listing stored, Map<String, BitSet> done) {
+  void readFinishedTasksInShortChunks(StateClient.Listing stored, Map<String, BitSet> done) {
     shortProgress.read(
         stored.entries(),
         (name, value) ->
-            finished(done, name, value.path("Bits"), (int) Json.count(value, "Piece", shortPiece)));
+            finished(
+                done, name, value.path("Bits"), (int) Json.integer(value, "Piece", shortPiece)));
   }
 
   private static void finished(
@@ -138,7 +139,7 @@
     try {
       int piece = Integer.parseInt(name.substring(name.lastIndexOf('/') + 1));
       BitSet read = BitSet.valueOf(value.binaryValue());
-      BitSet bits = done.computeIfAbsent(Keys.idOf(Keys.PROGRESS + name), j -> new BitSet());
+      BitSet bits = done.computeIfAbsent(Keys.idOf(Keys.FINISHED_TASKS + name), j -> new BitSet());
       read.stream().forEach(i -> bits.set(piece * pieceLength + i));
     } catch (IOException | RuntimeException e) {
       // The tasks run again; one whose result is kept ends at once when it is started again.
@@ -147,7 +148,7 @@
   }
 
   /** How far each job's tasks may have been launched. */
-  Map<String, Integer> readLaunchMarks(StateClient.Listing stored) {
+  Map<String, Integer> readLaunchWatermarks(StateClient.Listing stored) {
     Map<String, Integer> all = new HashMap<>();
     launchMark.read(
         stored.entries(), (job, value) -> all.merge(job, launchMark(job, value), Math::max));
@@ -175,9 +176,12 @@
           // While a page is split an entry may stand twice, and nothing tells which is the newer
           // one.
           boolean once = seen.add(machine);
-          double ageS = (loop.wallMs() - Json.count(entry, "At", Long.MAX_VALUE / 2)) / 1000.0;
+          double ageS =
+              (loop.wallClockMs() - Json.integer(entry, "At", Long.MAX_VALUE / 2)) / 1000.0;
           cluster.addRegistered(
-              machine, ageS - 2 * settings.clockOffS(), once ? held(entry.get("Held")) : null);
+              machine,
+              ageS - 2 * settings.maxClockOffsetS(),
+              once ? held(entry.get("Held")) : null);
         });
     for (String job : new ArrayList<>(launchMark.names())) {
       if (cluster.job(job) == null) {
@@ -186,7 +190,7 @@
     }
     for (PagedRecords pages : List.of(progress, shortProgress)) {
       for (String name : new ArrayList<>(pages.names())) {
-        if (cluster.job(Keys.idOf(Keys.PROGRESS + name)) == null) {
+        if (cluster.job(Keys.idOf(Keys.FINISHED_TASKS + name)) == null) {
           pages.remove(name);
         }
       }
@@ -202,7 +206,7 @@
     for (JsonNode task : tasks) {
       try {
         held.add(TaskId.parse(task.asText()));
-      } catch (InvalidField e) {
+      } catch (InvalidFieldException e) {
         LOG.error("a record of what a machine holds cannot be read: {}", e.getMessage());
         return null;
       }
@@ -212,13 +216,13 @@
 
   // Writing
 
-  private Txn guarded() {
-    return new Txn().guard(Keys.LEADER, leadership.keyVersion());
+  private Transaction guarded() {
+    return new Transaction().expectVersion(Keys.LEADER, leadership.leaderKeyVersion());
   }
 
   /** Whether the guard on the leader's key held; if not, this node steps down. */
   private boolean stillLeading(CommitResult refusal) {
-    boolean leads = !refusal.failedKeys().contains(Keys.LEADER);
+    boolean leads = !refusal.conflictingKeys().contains(Keys.LEADER);
     if (!leads) {
       leadership.stepDown("its key is gone");
     }
@@ -244,43 +248,44 @@
   }
 
   /** Commits that jobs are done, before any user is told so. */
-  void saveFinished() {
-    if (cluster.complete().isEmpty() || loop.now() < finishAgainAt) {
+  void saveCompletedJobs() {
+    if (cluster.completedJobs().isEmpty() || loop.now() < finishAgainAt) {
       return;
     }
-    for (Job job : new ArrayList<>(cluster.complete())) {
-      if (!job.saving()) {
-        saveFinished(job);
+    for (Job job : new ArrayList<>(cluster.completedJobs())) {
+      if (!job.outcomeWriteInFlight()) {
+        saveCompletedJobs(job);
       }
     }
   }
 
-  private void saveFinished(Job job) {
+  private void saveCompletedJobs(Job job) {
     String id = job.spec().id();
-    long endedMs = loop.wallMs();
-    Txn txn = JobStore.end(guarded(), id, job.version(), JobStore.Status.DONE, endedMs);
-    job.saving(true);
+    long endedMs = loop.wallClockMs();
+    Transaction txn =
+        JobStore.addOutcome(guarded(), id, job.version(), JobStore.JobStatus.DONE, endedMs);
+    job.outcomeWriteInFlight(true);
     state.commit(
         txn,
         true,
         answer -> {
-          job.saving(false);
+          job.outcomeWriteInFlight(false);
           if (leader.term().hasEnded()) {
             return;
           }
-          if (answer.committed()) {
+          if (answer.isCommitted()) {
             LOG.debug("job {} is done", id);
-            store.remember(id, JobStore.Status.DONE);
-            cluster.ended(id, true, endedMs);
-            leader.remove(id);
+            store.recordOutcome(id, JobStore.JobStatus.DONE);
+            cluster.jobEnded(id, true, endedMs);
+            leader.removeJob(id);
             leader.runDueWork();
             return;
           }
           // Its user cancelled it, or an earlier try of ours came through, which the watch will
           // tell; or the
           // service is away, and to ask it again with every report would only add to its trouble.
-          if (!answer.refused() || stillLeading(answer)) {
-            finishAgainAt = loop.now() + settings.reportS() / 6;
+          if (!answer.isConflict() || stillLeading(answer)) {
+            finishAgainAt = loop.now() + settings.heartbeatIntervalS() / 6;
           }
         });
   }
@@ -288,7 +293,9 @@
   /** Writes that a job is cancelled with one that it needs: users are told so already. */
   void saveCancelled(Job job, Runnable then) {
     String id = job.spec().id();
-    Txn txn = JobStore.end(guarded(), id, job.version(), JobStore.Status.CANCELLED, loop.wallMs());
+    Transaction txn =
+        JobStore.addOutcome(
+            guarded(), id, job.version(), JobStore.JobStatus.CANCELLED, loop.wallClockMs());
     state.commit(
         txn,
         false,
@@ -296,9 +303,9 @@
           if (leader.term().hasEnded()) {
             return;
           }
-          if (answer.committed()) {
-            store.remember(id, JobStore.Status.CANCELLED);
-          } else if (answer.refused()) {
+          if (answer.isCommitted()) {
+            store.recordOutcome(id, JobStore.JobStatus.CANCELLED);
+          } else if (answer.isConflict()) {
             stillLeading(answer);
           }
           then.run();
@@ -306,27 +313,29 @@
   }
 
   /** Keeps which tasks are finished, so that a change of leader does not run them again. */
-  void saveProgress() {
+  void saveFinishedTasks() {
     if (progressBusy) {
       return;
     }
     Map<Job, BitSet> saving = new LinkedHashMap<>();
     Map<Job, Set<String>> entries = new HashMap<>();
-    for (Job job : cluster.unsaved()) {
-      if (!job.complete()) {
-        BitSet now = (BitSet) job.doneTasks().clone();
+    for (Job job : cluster.jobsWithUnsavedTasks()) {
+      if (!job.isComplete()) {
+        BitSet now = (BitSet) job.finishedTasks().clone();
         saving.put(job, now);
         entries.put(job, enter(job, now));
       }
     }
-    Txn txn = guarded();
+    Transaction txn = guarded();
     // In turns, should both have something to write.
     shortFirst = !shortFirst;
     PagedRecords.Batch first =
-        (shortFirst ? shortProgress : progress).addTo(txn, settings.txnOps(), MAX_TXN_BYTES);
+        (shortFirst ? shortProgress : progress)
+            .addTo(txn, settings.maxTransactionWrites(), MAX_TXN_BYTES);
     PagedRecords.Batch batch =
         first.isEmpty()
-            ? (shortFirst ? progress : shortProgress).addTo(txn, settings.txnOps(), MAX_TXN_BYTES)
+            ? (shortFirst ? progress : shortProgress)
+                .addTo(txn, settings.maxTransactionWrites(), MAX_TXN_BYTES)
             : first;
     if (batch.isEmpty()) {
       return;
@@ -339,13 +348,13 @@
         written -> {
           progressBusy = false;
           if (written) {
-            saving.forEach(cluster::saved);
+            saving.forEach(cluster::finishedTasksSaved);
           }
         });
   }
 
   /** Writes pages, and tells whether that was carried out for as long as this term lasts. */
-  private void write(Txn txn, PagedRecords.Batch batch, Consumer<Boolean> then) {
+  private void write(Transaction txn, PagedRecords.Batch batch, Consumer<Boolean> then) {
     state.commit(
         txn,
         true,
@@ -355,7 +364,7 @@
             return;
           }
           then.accept(written);
-          if (!written && answer.refused()) {
+          if (!written && answer.isConflict()) {
             stillLeading(answer);
           }
         });
@@ -365,7 +374,7 @@
   private Set<String> enter(Job job, BitSet now) {
     Set<String> names = new LinkedHashSet<>();
     BitSet news = (BitSet) now.clone();
-    news.andNot(job.savedTasks());
+    news.andNot(job.savedFinishedTasks());
     // Pieces of the usual length are what earlier versions read; of all but the largest jobs one
     // holds all.
     boolean shorter = shortPiece < PIECE && job.spec().tasks() > shortPiece;
@@ -391,40 +400,43 @@
    * been. So a next leader that cannot find some machines still knows which tasks cannot be there.
    * A job is written down with its first tasks, and then for twice as many each time.
    */
-  void saveLaunchMarks() {
+  void saveLaunchWatermarks() {
     double now = loop.now();
-    if (launchMarksBusy || now < launchMarksRetryAt || cluster.awaitingLaunchMark().isEmpty()) {
+    if (launchMarksBusy
+        || now < launchMarksRetryAt
+        || cluster.jobsAwaitingLaunchWatermark().isEmpty()) {
       return;
     }
     Map<Job, Integer> wanted = new LinkedHashMap<>();
-    for (Job job : cluster.awaitingLaunchMark()) {
-      wanted.put(job, job.wantedLaunchMark());
-      launchMark.put(job.spec().id(), IntNode.valueOf(job.wantedLaunchMark()));
+    for (Job job : cluster.jobsAwaitingLaunchWatermark()) {
+      wanted.put(job, job.requestedLaunchWatermark());
+      launchMark.put(job.spec().id(), IntNode.valueOf(job.requestedLaunchWatermark()));
     }
-    Txn txn = guarded();
-    PagedRecords.Batch batch = launchMark.addTo(txn, settings.txnOps(), MAX_TXN_BYTES);
+    Transaction txn = guarded();
+    PagedRecords.Batch batch =
+        launchMark.addTo(txn, settings.maxTransactionWrites(), MAX_TXN_BYTES);
     if (batch.isEmpty()) {
       return;
     }
     wanted.keySet().removeIf(job -> !batch.holds(job.spec().id()));
     launchMarksBusy = true;
-    launchMarksRetryAt = now + settings.reportS() / LAUNCH_MARK_WRITES;
+    launchMarksRetryAt = now + settings.heartbeatIntervalS() / LAUNCH_MARK_WRITES;
     write(
         txn,
         batch,
         written -> {
           launchMarksBusy = false;
           if (written) {
-            wanted.forEach(cluster::launchMarkSaved);
+            wanted.forEach(cluster::launchWatermarkSaved);
             leader.runDueWork();
           } else {
-            launchMarksRetryAt = loop.now() + settings.reportS() / 10;
+            launchMarksRetryAt = loop.now() + settings.heartbeatIntervalS() / 10;
           }
         });
   }
 
   private ObjectNode entry() {
-    return Json.object().put("At", loop.wallMs());
+    return Json.object().put("At", loop.wallClockMs());
   }
 
   /**
@@ -436,11 +448,11 @@
   void saveRegistry() {
     if (registryWriteInFlight
         || loop.now() < registryRetryAt
-        || !cluster.registry().due() && !registry.splitting()) {
+        || !cluster.registry().hasPendingWrites() && !registry.splitting()) {
       return;
     }
     for (Machine m :
-        registry.splitting() ? List.<Machine>of() : cluster.registry().takeFrozenMachines()) {
+        registry.splitting() ? List.<Machine>of() : cluster.registry().takeCordonedMachines()) {
       ObjectNode entry = entry();
       ArrayNode held = entry.putArray("Held");
       m.attempts().forEach(a -> held.add(a.task().toString()));
@@ -449,13 +461,13 @@
     }
     // Entries that are being moved are entered nowhere else meanwhile.
     boolean splitting = registry.splitting();
-    List<Machine> added = splitting ? List.of() : cluster.registry().missing();
+    List<Machine> added = splitting ? List.of() : cluster.registry().unregisteredMachines();
     added.forEach(m -> registry.put(m.id(), entry()));
-    List<String> left = new ArrayList<>(cluster.registry().left());
+    List<String> left = new ArrayList<>(cluster.registry().removedMachines());
     left.forEach(registry::remove);
-    left.forEach(cluster.registry().left()::remove);
-    Txn txn = guarded();
-    PagedRecords.Batch batch = registry.addTo(txn, settings.txnOps(), MAX_TXN_BYTES);
+    left.forEach(cluster.registry().removedMachines()::remove);
+    Transaction txn = guarded();
+    PagedRecords.Batch batch = registry.addTo(txn, settings.maxTransactionWrites(), MAX_TXN_BYTES);
     if (batch.isEmpty()) {
       return;
     }
@@ -467,10 +479,10 @@
         written -> {
           registryWriteInFlight = false;
           if (written) {
-            cluster.registry().entered(entered);
+            cluster.registry().markRegistered(entered);
             leader.runDueWork();
           } else {
-            registryRetryAt = loop.now() + settings.reportS() / 10;
+            registryRetryAt = loop.now() + settings.heartbeatIntervalS() / 10;
           }
         });
   }
--- a/src/main/java/org/saffronshore/control/UserApi.java
+++ b/src/main/java/org/saffronshore/control/UserApi.java
@@ -7,14 +7,14 @@
 import java.util.function.Supplier;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
-import org.saffronshore.http.Reply;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Request;
-import org.saffronshore.peer.Progress;
+import org.saffronshore.http.Responder;
+import org.saffronshore.peer.JobProgress;
 import org.saffronshore.state.JobStore;
-import org.saffronshore.state.JobStore.Accepted;
-import org.saffronshore.state.JobStore.Status;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.JobStore.JobStatus;
+import org.saffronshore.state.JobStore.SubmissionResult;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.MachineType;
@@ -31,20 +31,20 @@
   /** What a job's record takes beside what its user sent. */
   private static final int RECORD_BYTES = 128;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final JobStore store;
   private final Metrics metrics;
   private final Supplier<Map<String, MachineType>> types;
-  private final Function<String, Progress> progress;
+  private final Function<String, JobProgress> progress;
 
   UserApi(
-      Loop loop,
+      EventLoop loop,
       Settings settings,
       JobStore store,
       Metrics metrics,
       Supplier<Map<String, MachineType>> types,
-      Function<String, Progress> progress) {
+      Function<String, JobProgress> progress) {
     this.loop = loop;
     this.settings = settings;
     this.store = store;
@@ -53,62 +53,63 @@
     this.progress = progress;
   }
 
-  void submit(Request request, Reply reply) {
+  void submit(Request request, Responder reply) {
     double began = loop.now();
     JsonNode body = request.json();
     JobSpec job;
     try {
       job = parse(body);
-    } catch (InvalidField e) {
-      refuse(body == null ? null : Json.text(body, "Uid"), 400, e.getMessage(), reply);
+    } catch (InvalidFieldException e) {
+      rejectUnlessKnown(body == null ? null : Json.text(body, "Uid"), 400, e.getMessage(), reply);
       return;
     }
     if (types.get().isEmpty()) {
-      refuse(job.id(), 503, "the machine types are not known yet", reply);
+      rejectUnlessKnown(job.id(), 503, "the machine types are not known yet", reply);
       return;
     }
-    String problem = impossible(job);
+    String problem = findImpossibility(job);
     if (problem != null) {
-      refuse(job.id(), 422, problem, reply);
+      rejectUnlessKnown(job.id(), 422, problem, reply);
       return;
     }
-    store.accept(job, loop.wallMs(), accepted -> submitted(job.id(), accepted, began, reply));
+    store.submit(job, loop.wallClockMs(), accepted -> submitted(job.id(), accepted, began, reply));
   }
 
-  private JobSpec parse(JsonNode body) throws InvalidField {
+  private JobSpec parse(JsonNode body) throws InvalidFieldException {
     if (body == null) {
-      throw new InvalidField("body", "is not JSON");
+      throw new InvalidFieldException("body", "is not JSON");
     }
     JobSpec job = JobSpec.parse(body);
     // The state service would refuse the whole transaction, and with it the submissions that share
     // it.
-    if (Json.bytes(job.toJson()).length > settings.valueKb() * 1024 - RECORD_BYTES) {
-      throw new InvalidField("body", "is longer than what can be kept of a job");
+    if (Json.bytes(job.toJson()).length > settings.maxValueKb() * 1024 - RECORD_BYTES) {
+      throw new InvalidFieldException("body", "is longer than what can be kept of a job");
     }
     return job;
   }
 
-  private void submitted(String id, Accepted accepted, double began, Reply reply) {
-    if (accepted == Accepted.NEW || accepted == Accepted.NEW_UNPROVEN) {
-      metrics.add(Metrics.Count.SUBMITTED, 1);
-      metrics.took(Metrics.Latency.SUBMIT, loop.now() - began);
+  private void submitted(String id, SubmissionResult accepted, double began, Responder reply) {
+    if (accepted == SubmissionResult.ACCEPTED || accepted == SubmissionResult.ACCEPTED_UNVERIFIED) {
+      metrics.increment(Metrics.Counter.SUBMITTED, 1);
+      metrics.recordLatency(Metrics.Latency.SUBMIT, loop.now() - began);
     }
     switch (accepted) {
-      case NEW -> respond(id, Status.OPEN, 201, reply);
-      case NEW_UNPROVEN ->
+      case ACCEPTED -> respond(id, JobStatus.OPEN, 201, reply);
+      case ACCEPTED_UNVERIFIED ->
           // A needed job may be cancelled already: then so is this one, and must not be called
           // anything else.
-          store.look(id, status -> respond(id, status, 201, reply));
-      case KNOWN -> store.look(id, status -> respondKnown(id, status, reply));
+          store.lookUp(id, status -> respond(id, status, 201, reply));
+      case DUPLICATE -> store.lookUp(id, status -> respondKnown(id, status, reply));
       case OVERLOADED -> respondBusy(reply);
-      case MISSING ->
-          refuse(id, 422, JobSpec.DEPENDENCIES + ": names a job that was never accepted", reply);
+      case UNKNOWN_DEPENDENCY ->
+          rejectUnlessKnown(
+              id, 422, JobSpec.DEPENDENCIES_FIELD + ": names a job that was never accepted", reply);
       default -> respondUnavailable(reply);
     }
   }
 
-  private void respondKnown(String id, Status status, Reply reply) {
-    if (status == Status.ABSENT) {
+  private void respondKnown(String id, JobStatus status, Responder reply) {
+    if (status == JobStatus.NOT_FOUND) {
       respondUnavailable(reply);
     } else {
       respond(id, status, reply);
@@ -116,16 +117,16 @@
   }
 
   /** Why a job can never run, or null. */
-  private String impossible(JobSpec job) {
-    Settings.Team team = settings.teams().get(job.team());
+  private String findImpossibility(JobSpec job) {
+    Settings.TeamQuota team = settings.teams().get(job.team());
     if (team == null) {
       return "Crew: there is no such team";
     }
     if (types.get().values().stream().noneMatch(t -> t.fits(job))) {
       return "a task fits no machine type that the job allows";
     }
-    if (team.cpusMax() > 0 && job.cpus() > team.cpusMax()
-        || team.gpusMax() > 0 && job.gpus() > team.gpusMax()) {
+    if (team.maxCpus() > 0 && job.cpus() > team.maxCpus()
+        || team.maxGpus() > 0 && job.gpus() > team.maxGpus()) {
       return "a task is beyond the limit of its team";
     }
     return null;
@@ -135,17 +136,17 @@
    * A job that was accepted once stays accepted, whatever a later copy of its submission looks
    * like.
    */
-  private void refuse(String id, int verdict, String problem, Reply reply) {
-    if (!JobSpec.isId(id)) {
+  private void rejectUnlessKnown(String id, int verdict, String problem, Responder reply) {
+    if (!JobSpec.isValidId(id)) {
       reply.error(verdict, problem);
       return;
     }
-    store.look(
+    store.lookUp(
         id,
         status -> {
-          if (status == Status.ABSENT) {
+          if (status == JobStatus.NOT_FOUND) {
             if (verdict == 503) {
-              reply.later(503, problem, SOON_S);
+              reply.retryLater(503, problem, SOON_S);
             } else {
               reply.error(verdict, problem);
             }
@@ -155,38 +156,38 @@
         });
   }
 
-  void look(String id, Reply reply) {
+  void poll(String id, Responder reply) {
     double began = loop.now();
-    if (!JobSpec.isId(id)) {
+    if (!JobSpec.isValidId(id)) {
       reply.error(404, "no such job");
       return;
     }
-    store.look(
+    store.lookUp(
         id,
         status -> {
-          metrics.took(Metrics.Latency.POLL, loop.now() - began);
+          metrics.recordLatency(Metrics.Latency.POLL, loop.now() - began);
           respond(id, status, reply);
         });
   }
 
-  void cancel(String id, Reply reply) {
-    if (!JobSpec.isId(id)) {
+  void cancel(String id, Responder reply) {
+    if (!JobSpec.isValidId(id)) {
       reply.error(404, "no such job");
       return;
     }
     store.cancel(id, status -> respond(id, status, reply));
   }
 
-  private void respond(String id, Status status, Reply reply) {
+  private void respond(String id, JobStatus status, Responder reply) {
     respond(id, status, 200, reply);
   }
 
-  private void respond(String id, Status status, int accepted, Reply reply) {
+  private void respond(String id, JobStatus status, int accepted, Responder reply) {
     LOG.debug("answering a user: job={} state={}", id, status);
     ObjectNode o = Json.object().put("Uid", id);
     switch (status) {
       case OPEN -> {
-        Progress p = progress.apply(id);
+        JobProgress p = progress.apply(id);
         reply.json(
             accepted,
             o.put("Status", p.running() > 0 ? "running" : "pending")
@@ -195,20 +196,20 @@
       }
       case DONE -> reply.json(accepted, o.put("Status", "done"));
       case CANCELLED -> reply.json(accepted, o.put("Status", "aborted"));
-      case ABSENT -> reply.error(404, "no such job");
+      case NOT_FOUND -> reply.error(404, "no such job");
       default -> respondUnavailable(reply);
     }
   }
 
-  private void respondUnavailable(Reply reply) {
+  private void respondUnavailable(Responder reply) {
     LOG.debug("refused: the state service does not answer, or the request budget is spent");
-    metrics.add(Metrics.Count.REFUSED, 1);
-    reply.later(503, "the state service does not answer", SOON_S);
+    metrics.increment(Metrics.Counter.REFUSED, 1);
+    reply.retryLater(503, "the state service does not answer", SOON_S);
   }
 
-  void respondBusy(Reply reply) {
+  void respondBusy(Responder reply) {
     LOG.debug("refused: overloaded");
-    metrics.add(Metrics.Count.REFUSED, 1);
-    reply.later(429, "too many requests", SOON_S);
+    metrics.increment(Metrics.Counter.REFUSED, 1);
+    reply.retryLater(429, "too many requests", SOON_S);
   }
 }
--- a/src/main/java/org/saffronshore/fleet/Arrivals.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Resources;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 
 /** What jobs of each class look like and how often they come, as far as this term has seen. */
-public final class Arrivals {
+public final class ArrivalStatistics {
 
   private static final class Seen {
     JobSpec example;
@@ -26,7 +26,7 @@
   private record Recent(double at, int tasks) {}
 
   /** A typical job of a class that is to find room at once. */
-  public record Expected(JobSpec task, double tasks) {}
+  public record ExpectedJob(JobSpec task, double tasks) {}
 
   private final Map<String, Seen> classes = new HashMap<>();
   private final double spanS;
@@ -34,14 +34,14 @@
   /**
    * @param spanS jobs must come for twice this time before more of their like are expected
    */
-  public Arrivals(double spanS) {
+  public ArrivalStatistics(double spanS) {
     this.spanS = spanS;
   }
 
   /**
    * @param fresh whether the job came just now, and was not found waiting
    */
-  public void saw(JobSpec job, boolean fresh, double now) {
+  public void jobArrived(JobSpec job, boolean fresh, double now) {
     Seen seen = classes.computeIfAbsent(job.jobClass(), c -> new Seen());
     if (seen.jobs == 0) {
       seen.firstAt = now;
@@ -60,8 +60,8 @@
    * last two spans the leaner one counts, so that a heap of jobs that come at once is not taken for
    * a stream of them.
    */
-  public List<Plan.UnplacedTasks> within(double seconds, double now) {
-    List<Plan.UnplacedTasks> all = new ArrayList<>();
+  public List<SchedulingPlan.UnplacedTasks> expectedTasks(double seconds, double now) {
+    List<SchedulingPlan.UnplacedTasks> all = new ArrayList<>();
     for (Seen s : classes.values()) {
       while (!s.recent.isEmpty() && s.recent.peekFirst().at < now - 2 * spanS) {
         s.recent.removeFirst();
@@ -77,7 +77,7 @@
       }
       int tasks = (int) (Math.min(last, before) / spanS * seconds);
       if (tasks > 0) {
-        all.add(new Plan.UnplacedTasks(s.example, tasks));
+        all.add(new SchedulingPlan.UnplacedTasks(s.example, tasks));
       }
     }
     return all;
@@ -87,12 +87,12 @@
    * A typical job of every class that still comes: one that has not stayed away for several of its
    * usual gaps.
    */
-  public List<Expected> expected(double now, double minGapS) {
-    List<Expected> all = new ArrayList<>();
+  public List<ExpectedJob> expectedJobs(double now, double minGapS) {
+    List<ExpectedJob> all = new ArrayList<>();
     for (Seen s : classes.values()) {
       double gap = Math.max(minGapS, s.jobs < 2 ? 0 : (s.lastAt - s.firstAt) / (s.jobs - 1));
       if (now - s.lastAt < 3 * gap) {
-        all.add(new Expected(s.example, (double) s.tasks / s.jobs));
+        all.add(new ExpectedJob(s.example, (double) s.tasks / s.jobs));
       }
     }
     return all;
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.scheduling.Plan;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 
@@ -26,14 +26,14 @@
    * @param scarce types of which the cloud has no machine left, of any kind
    * @param late what waits for longer than a machine takes to boot
    */
-  public static List<Plan.UnplacedTasks> find(
+  public static List<SchedulingPlan.UnplacedTasks> find(
       Map<String, MachineType> types,
       Set<String> scarce,
-      List<Plan.UnplacedTasks> late,
+      List<SchedulingPlan.UnplacedTasks> late,
       List<Running> running) {
     Set<String> needed = new HashSet<>();
     double cpus = 0;
-    for (Plan.UnplacedTasks u : late) {
+    for (SchedulingPlan.UnplacedTasks u : late) {
       List<String> fits =
           types.values().stream().filter(t -> t.fits(u.job())).map(MachineType::name).toList();
       if (scarce.containsAll(fits)) {
@@ -41,13 +41,13 @@
         cpus += u.job().cpus() * u.tasks();
       }
     }
-    List<Plan.UnplacedTasks> displaced = new ArrayList<>();
+    List<SchedulingPlan.UnplacedTasks> displaced = new ArrayList<>();
     for (Running r : running) {
       boolean elsewhere =
           types.values().stream().anyMatch(t -> !scarce.contains(t.name()) && t.fits(r.job));
       if (needed.contains(r.type) && elsewhere && cpus > 0) {
         int tasks = (int) Math.min(r.tasks, Math.ceil(cpus / Math.max(r.job.cpus(), 1e-3)));
-        displaced.add(new Plan.UnplacedTasks(r.job, tasks));
+        displaced.add(new SchedulingPlan.UnplacedTasks(r.job, tasks));
         cpus -= tasks * r.job.cpus();
       }
     }
--- a/src/main/java/org/saffronshore/fleet/Forecast.java
+++ b/src/main/java/org/saffronshore/fleet/Forecast.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.ToDoubleFunction;
-import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Resources;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 
 /**
@@ -19,7 +19,7 @@
   private record Release(double at, JobSpec job) {}
 
   /** A machine, with what is free on it now or when it is up, and what becomes free later. */
-  public static final class Line {
+  public static final class MachineTimeline {
     private final MachineKind kind;
     private final Resources room;
     private double openAt;
@@ -28,7 +28,7 @@
     private final ArrayList<Release> releases = new ArrayList<>(4);
 
     /** A machine with this much free from a moment on. */
-    public Line(MachineKind kind, Resources room, double openAt) {
+    public MachineTimeline(MachineKind kind, Resources room, double openAt) {
       this.kind = kind;
       this.room = room;
       this.openAt = openAt;
@@ -72,10 +72,10 @@
 
     private void put(JobSpec job, double start, double lasts) {
       while (!room.fits(job) && !releases.isEmpty()) {
-        room.give(releases.remove(releases.size() - 1).job);
+        room.add(releases.remove(releases.size() - 1).job);
       }
       openAt = Math.max(openAt, start);
-      room.take(job);
+      room.subtract(job);
       running(job, start + lasts);
     }
   }
@@ -97,32 +97,33 @@
    * @param lasts how long a task is expected to take
    * @param helpAt when a machine rented now for a task would be up
    */
-  public static List<Plan.UnplacedTasks> late(
-      List<Line> lines,
-      List<Plan.UnplacedTasks> queue,
+  public static List<SchedulingPlan.UnplacedTasks> late(
+      List<MachineTimeline> lines,
+      List<SchedulingPlan.UnplacedTasks> queue,
       ToDoubleFunction<JobSpec> lasts,
       ToDoubleFunction<JobSpec> helpAt) {
-    List<Plan.UnplacedTasks> late = new ArrayList<>();
+    List<SchedulingPlan.UnplacedTasks> late = new ArrayList<>();
     List<Failure> failures = new ArrayList<>();
-    for (Plan.UnplacedTasks u : queue) {
+    for (SchedulingPlan.UnplacedTasks u : queue) {
       JobSpec job = u.job();
       double limit = helpAt.applyAsDouble(job);
       int left = u.tasks();
-      if (failures.stream().noneMatch(f -> limit <= f.limit && job.asksNoLess(f.job))) {
+      if (failures.stream().noneMatch(f -> limit <= f.limit && job.requiresAtLeast(f.job))) {
         left = put(lines, job, left, limit, lasts.applyAsDouble(job));
         if (left > 0) {
           failures.add(new Failure(job, limit));
         }
       }
       if (left > 0) {
-        late.add(new Plan.UnplacedTasks(job, left));
+        late.add(new SchedulingPlan.UnplacedTasks(job, left));
       }
     }
     return late;
   }
 
   /** Puts tasks of a job on the lines that take them first; how many found none in time. */
-  private static int put(List<Line> lines, JobSpec job, int tasks, double limit, double lasts) {
+  private static int put(
+      List<MachineTimeline> lines, JobSpec job, int tasks, double limit, double lasts) {
     PriorityQueue<Start> starts = new PriorityQueue<>(Start.ORDER);
     for (int i = 0; i < lines.size(); i++) {
       if (lines.get(i).kind.allows(job)) {
@@ -140,7 +141,11 @@
   }
 
   private static void offer(
-      PriorityQueue<Start> starts, List<Line> lines, int line, JobSpec job, double limit) {
+      PriorityQueue<Start> starts,
+      List<MachineTimeline> lines,
+      int line,
+      JobSpec job,
+      double limit) {
     double at = lines.get(line).startOf(job, limit);
     if (at <= limit) {
       starts.add(new Start(at, line));
--- a/src/main/java/org/saffronshore/fleet/MachineKind.java
+++ b/src/main/java/org/saffronshore/fleet/MachineKind.java
@@ -7,7 +7,7 @@
   /** Whether the job may use machines of this kind. */
   public boolean allows(JobSpec job) {
     return (!spot || job.spot())
-        && (job.types() == null || job.types().contains(type))
+        && (job.machineTypes() == null || job.machineTypes().contains(type))
         && (job.zone() == null || job.zone().equals(zone));
   }
 
--- a/src/main/java/org/saffronshore/fleet/RentalPlan.java
+++ b/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Resources;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 
 /** Works out what to rent for the tasks that found no place. A pure function. */
-public final class RentalPlan {
+public final class ScaleOutPlan {
 
   /** A machine that the plan adds. */
   private static final class Bin {
@@ -22,14 +22,14 @@
 
     Bin(MachineKind kind, MachineType type) {
       this.kind = kind;
-      this.room = Resources.of(type);
+      this.room = Resources.capacityOf(type);
     }
 
     /** Takes as many tasks of a job as it has room for; how many. */
     int fill(JobSpec job, int most) {
       int taken = 0;
       while (taken < most && room.fits(job) && kind.allows(job)) {
-        room.take(job);
+        room.subtract(job);
         taken++;
       }
       return taken;
@@ -42,7 +42,7 @@
   private final List<Bin> bins = new ArrayList<>();
   private final Map<MachineKind, Integer> orders = new LinkedHashMap<>();
 
-  private RentalPlan(
+  private ScaleOutPlan(
       Map<String, MachineType> types,
       Predicate<MachineKind> available,
       Map<String, Integer> perZone) {
@@ -57,20 +57,20 @@
    */
   public static Map<MachineKind, Integer> orders(
       Map<String, MachineType> types,
-      List<Plan.UnplacedTasks> unmet,
+      List<SchedulingPlan.UnplacedTasks> unmet,
       Map<String, Integer> perZone,
       Predicate<MachineKind> available) {
-    RentalPlan plan = new RentalPlan(types, available, perZone);
+    ScaleOutPlan plan = new ScaleOutPlan(types, available, perZone);
     // Large tasks first: small ones then fill the gaps, and fewer machines do.
-    List<Plan.UnplacedTasks> groups = new ArrayList<>(unmet);
-    groups.sort(Comparator.comparingDouble((Plan.UnplacedTasks u) -> -u.job().cpus()));
+    List<SchedulingPlan.UnplacedTasks> groups = new ArrayList<>(unmet);
+    groups.sort(Comparator.comparingDouble((SchedulingPlan.UnplacedTasks u) -> -u.job().cpus()));
     for (int i = 0; i < groups.size(); i++) {
       plan.add(groups, i);
     }
     return plan.orders;
   }
 
-  private void add(List<Plan.UnplacedTasks> groups, int index) {
+  private void add(List<SchedulingPlan.UnplacedTasks> groups, int index) {
     JobSpec job = groups.get(index).job();
     int left = groups.get(index).tasks();
     for (Bin bin : bins) {
@@ -93,7 +93,7 @@
    * The kind with the lowest price for what it would hold of the tasks that are left, from this
    * group on.
    */
-  private MachineKind cheapest(List<Plan.UnplacedTasks> groups, int index, int left) {
+  private MachineKind cheapest(List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
     JobSpec job = groups.get(index).job();
     MachineKind best = null;
     double bestScore = Double.POSITIVE_INFINITY;
@@ -106,7 +106,7 @@
         if (kind == null) {
           continue;
         }
-        double price = kind.spot() ? type.spotPrice() : type.price();
+        double price = kind.spot() ? type.spotPricePerHour() : type.pricePerHour();
         double score = price / held(new Bin(kind, type), groups, index, left);
         if (score < bestScore) {
           best = kind;
@@ -117,7 +117,8 @@
     return best;
   }
 
-  private static double held(Bin bin, List<Plan.UnplacedTasks> groups, int index, int left) {
+  private static double held(
+      Bin bin, List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
     double cpus = 0;
     for (int i = index; i < groups.size() && bin.room.cpus > 1e-6; i++) {
       JobSpec job = groups.get(i).job();
--- a/src/main/java/org/saffronshore/http/Admission.java
+++ b/src/main/java/org/saffronshore/http/AdmissionQueue.java
@@ -9,10 +9,10 @@
  * die without them, then decisions, then submissions and questions of users. Work is done in short
  * slices, between which newly arrived requests are read. A full rank refuses at once.
  */
-public final class Admission {
+public final class AdmissionQueue {
 
   /** Ranks of work, the most urgent first. */
-  public enum Rank {
+  public enum RequestClass {
     REPORT,
     DECISION,
     SUBMISSION
@@ -20,32 +20,32 @@
 
   private static final int SLICE = 8;
 
-  private final Loop loop;
-  private final Map<Rank, Integer> most;
-  private final Map<Rank, ArrayDeque<Runnable>> waiting = new EnumMap<>(Rank.class);
+  private final EventLoop loop;
+  private final Map<RequestClass, Integer> capacity;
+  private final Map<RequestClass, ArrayDeque<Runnable>> waiting = new EnumMap<>(RequestClass.class);
   private boolean scheduled;
 
   /**
-   * @param most how many requests of each rank may wait
+   * @param capacity how many requests of each rank may wait
    */
-  public Admission(Loop loop, Map<Rank, Integer> most) {
+  public AdmissionQueue(EventLoop loop, Map<RequestClass, Integer> most) {
     this.loop = loop;
-    this.most = most;
-    for (Rank rank : Rank.values()) {
+    this.capacity = most;
+    for (RequestClass rank : RequestClass.values()) {
       waiting.put(rank, new ArrayDeque<>());
     }
   }
 
   /** Takes work on, or returns false when there is no room for more of its rank. */
-  public boolean offer(Rank rank, Runnable work) {
+  public boolean offer(RequestClass rank, Runnable work) {
     ArrayDeque<Runnable> queue = waiting.get(rank);
-    if (queue.size() >= most.get(rank)) {
+    if (queue.size() >= capacity.get(rank)) {
       return false;
     }
     queue.addLast(work);
     if (!scheduled) {
       scheduled = true;
-      loop.soon(this::slice);
+      loop.execute(this::runSlice);
     }
     return true;
   }
@@ -60,7 +60,7 @@
     return null;
   }
 
-  private void slice() {
+  private void runSlice() {
     scheduled = false;
     try {
       for (int i = 0; i < SLICE; i++) {
@@ -73,7 +73,7 @@
     } finally {
       if (!scheduled && waiting.values().stream().anyMatch(q -> !q.isEmpty())) {
         scheduled = true;
-        loop.soon(this::slice);
+        loop.execute(this::runSlice);
       }
     }
   }
--- a/src/main/java/org/saffronshore/http/Client.java
+++ b/src/main/java/org/saffronshore/http/Client.java
@@ -11,5 +11,5 @@
       String path,
       byte[] body,
       double timeoutS,
-      Answer.Receiver receiver);
+      Response.Callback receiver);
 }
--- a/src/main/java/org/saffronshore/http/Sockets.java
+++ b/src/main/java/org/saffronshore/http/ConnectionLimit.java
@@ -4,39 +4,39 @@
  * How many connections some part of a node may hold, out of the sockets that the platform lets it
  * have.
  */
-public final class Sockets {
+public final class ConnectionLimit {
   /**
    * Beyond this share of them connections are closed after each answer, so that there is always one
    * to be had.
    */
-  private static final double KEPT_SHARE = 0.85;
+  private static final double KEEP_ALIVE_SHARE = 0.85;
 
-  private final int most;
-  private int taken;
+  private final int max;
+  private int inUse;
 
-  public Sockets(int most) {
-    this.most = most;
+  public ConnectionLimit(int most) {
+    this.max = most;
   }
 
   /** Takes a socket; false when all are in use. */
-  public boolean take() {
-    if (taken >= most) {
+  public boolean tryAcquire() {
+    if (inUse >= max) {
       return false;
     }
-    taken++;
+    inUse++;
     return true;
   }
 
   public void release() {
-    taken--;
+    inUse--;
   }
 
   /** Whether so few are left that connections should not be kept open between requests. */
-  public boolean scarce() {
-    return taken > most * KEPT_SHARE;
+  public boolean isNearlyExhausted() {
+    return inUse > max * KEEP_ALIVE_SHARE;
   }
 
-  public int taken() {
-    return taken;
+  public int inUse() {
+    return inUse;
   }
 }
--- a/src/main/java/org/saffronshore/http/Loop.java
+++ b/src/main/java/org/saffronshore/http/EventLoop.java
@@ -4,7 +4,7 @@
  * The one thread that owns all mutable state of a node, with its clock. Tests use a manual one in
  * place. Times are seconds of a steady clock that has no relation to the time of day.
  */
-public interface Loop {
+public interface EventLoop {
 
   /** A scheduled action that can be cancelled. */
   interface Timer {
@@ -14,26 +14,26 @@
   double now();
 
   /** The time of day in milliseconds, which other nodes have only roughly the same. */
-  default long wallMs() {
+  default long wallClockMs() {
     return System.currentTimeMillis();
   }
 
-  Timer after(double seconds, Runnable action);
+  Timer schedule(double seconds, Runnable action);
 
   /** Runs an action soon, after what is already waiting to be read from the network. */
-  default void soon(Runnable action) {
-    after(0, action);
+  default void execute(Runnable action) {
+    schedule(0, action);
   }
 
   /** Runs an action again and again, each time the given time after the last run ended. */
-  default void every(double seconds, Runnable action) {
-    after(
+  default void scheduleWithFixedDelay(double seconds, Runnable action) {
+    schedule(
         seconds,
         () -> {
           try {
             action.run();
           } finally {
-            every(seconds, action);
+            scheduleWithFixedDelay(seconds, action);
           }
         });
   }
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -42,10 +42,10 @@
    */
   public static final double IDLE_S = 30;
 
-  private record Kept(Address to, Channel channel, Loop.Timer timer) {}
+  private record Kept(Address to, Channel channel, EventLoop.Timer timer) {}
 
-  private final Loop loop;
-  private final Sockets sockets;
+  private final EventLoop loop;
+  private final ConnectionLimit sockets;
   private final double idleS;
   private final Bootstrap bootstrap;
   private final Map<Address, ArrayDeque<Kept>> idle = new HashMap<>();
@@ -56,7 +56,7 @@
   /**
    * @param idleS for how long an idle connection is kept
    */
-  public HttpClient(Loop loop, IoEventLoopGroup group, Sockets sockets, double idleS) {
+  public HttpClient(EventLoop loop, IoEventLoopGroup group, ConnectionLimit sockets, double idleS) {
     this.loop = loop;
     this.idleS = idleS;
     this.sockets = sockets;
@@ -83,15 +83,15 @@
       String path,
       byte[] body,
       double timeoutS,
-      Answer.Receiver receiver) {
+      Response.Callback receiver) {
     Exchange exchange = new Exchange(to, method, path, body, timeoutS, receiver);
     Channel kept = reuse(to);
     if (kept != null) {
       exchange.start(kept);
       return;
     }
-    if (!sockets.take() && !(closeOldest() && sockets.take())) {
-      loop.soon(exchange::fail);
+    if (!sockets.tryAcquire() && !(closeOldest() && sockets.tryAcquire())) {
+      loop.execute(exchange::fail);
       return;
     }
     ChannelFuture connecting = bootstrap.connect(to.host(), to.port());
@@ -122,7 +122,7 @@
 
   private void keep(Address to, Channel channel) {
     Kept[] kept = new Kept[1];
-    kept[0] = new Kept(to, channel, loop.after(idleS, () -> close(kept[0])));
+    kept[0] = new Kept(to, channel, loop.schedule(idleS, () -> close(kept[0])));
     idle.computeIfAbsent(to, a -> new ArrayDeque<>(2)).addLast(kept[0]);
     oldest.add(kept[0]);
   }
@@ -158,9 +158,9 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Answer.Receiver receiver;
+    private final Response.Callback receiver;
     private final double until;
-    private final Loop.Timer timer;
+    private final EventLoop.Timer timer;
     private Channel connecting;
     private Channel channel;
     private boolean over;
@@ -171,14 +171,14 @@
         String path,
         byte[] body,
         double timeoutS,
-        Answer.Receiver receiver) {
+        Response.Callback receiver) {
       this.to = to;
       this.method = method;
       this.path = path;
       this.body = body;
       this.receiver = receiver;
       this.until = loop.now() + timeoutS;
-      this.timer = loop.after(timeoutS, this::fail);
+      this.timer = loop.schedule(timeoutS, this::fail);
     }
 
     void start(Channel ch) {
@@ -192,7 +192,7 @@
               body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
       request.headers().set(HttpHeaderNames.HOST, to.toString());
       if (body != null) {
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, Reply.JSON);
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, Responder.CONTENT_TYPE_JSON);
         request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
       }
       ch.writeAndFlush(request);
@@ -200,10 +200,10 @@
 
     /** Once the channel had the request, nobody can tell whether the other side will see it. */
     void fail() {
-      finish(channel == null ? Answer.NOT_SENT : Answer.LOST, true);
+      finish(channel == null ? Response.NOT_SENT : Response.LOST, true);
     }
 
-    private void finish(Answer answer, boolean close) {
+    private void finish(Response answer, boolean close) {
       if (over) {
         return;
       }
@@ -221,7 +221,7 @@
         channel.pipeline().remove(this);
         keep(to, channel);
       }
-      receiver.receive(answer);
+      receiver.onResponse(answer);
     }
 
     @Override
@@ -234,7 +234,7 @@
         return;
       }
       finish(
-          new Answer(response.status().code(), ByteBufUtil.getBytes(response.content())),
+          new Response(response.status().code(), ByteBufUtil.getBytes(response.content())),
           !HttpUtil.isKeepAlive(response));
     }
 
--- a/src/main/java/org/saffronshore/http/HttpServer.java
+++ b/src/main/java/org/saffronshore/http/HttpServer.java
@@ -34,11 +34,11 @@
   public static final int MAX_BODY = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private final BiConsumer<Request, Reply> handler;
-  private final Sockets sockets;
+  private final BiConsumer<Request, Responder> handler;
+  private final ConnectionLimit sockets;
   private Channel channel;
 
-  public HttpServer(BiConsumer<Request, Reply> handler, Sockets sockets) {
+  public HttpServer(BiConsumer<Request, Responder> handler, ConnectionLimit sockets) {
     this.handler = handler;
     this.sockets = sockets;
   }
@@ -71,7 +71,7 @@
 
   private void accept(SocketChannel ch) {
     // Past the limit a refusal must be quick: a connection that is never read would look healthy.
-    if (!sockets.take()) {
+    if (!sockets.tryAcquire()) {
       ch.close();
       return;
     }
@@ -91,7 +91,13 @@
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage message) {
       String uri = message instanceof HttpRequest r ? r.uri() : "?";
       LOG.info("refused a request to {}: its body is longer than {} bytes", uri, MAX_BODY);
-      write(ctx, true, 400, Reply.JSON, "{\"error\":\"the body is too long\"}".getBytes(), 0);
+      write(
+          ctx,
+          true,
+          400,
+          Responder.CONTENT_TYPE_JSON,
+          "{\"error\":\"the body is too long\"}".getBytes(),
+          0);
     }
   }
 
@@ -106,8 +112,8 @@
               query < 0 ? uri : uri.substring(0, query),
               ByteBufUtil.getBytes(message.content()));
       boolean close = !HttpUtil.isKeepAlive(message);
-      Reply reply =
-          new Reply() {
+      Responder reply =
+          new Responder() {
             private boolean sent;
 
             @Override
@@ -118,12 +124,12 @@
                 // for the next
                 // report; refused at the door, they would take this node for dead and try another
                 // one.
-                write(ctx, close || sockets.scarce(), status, type, body, retryAfterS);
+                write(ctx, close || sockets.isNearlyExhausted(), status, type, body, retryAfterS);
               }
             }
 
             @Override
-            public boolean wanted() {
+            public boolean isConnected() {
               return ctx.channel().isActive();
             }
           };
@@ -135,7 +141,7 @@
         handler.accept(request, reply);
       } catch (RuntimeException e) {
         LOG.error("{} {} failed", request.method(), request.path(), e);
-        reply.later(503, "internal error", 1);
+        reply.retryLater(503, "internal error", 1);
       }
     }
 
--- a/src/main/java/org/saffronshore/http/NettyLoop.java
+++ b/src/main/java/org/saffronshore/http/NettyEventLoop.java
@@ -1,6 +1,5 @@
 package org.saffronshore.http;
 
-import io.netty.channel.EventLoop;
 import io.netty.channel.IoEventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -9,11 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /** The event loop of a running node. */
-public final class NettyLoop implements Loop {
-  private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
+public final class NettyEventLoop implements EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
   private final IoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = group.next();
+  private final io.netty.channel.EventLoop loop = group.next();
 
   public IoEventLoopGroup group() {
     return group;
@@ -25,7 +24,7 @@
   }
 
   @Override
-  public Timer after(double seconds, Runnable action) {
+  public Timer schedule(double seconds, Runnable action) {
     Runnable guarded = () -> run(action);
     if (seconds <= 0) {
       loop.execute(guarded);
--- a/src/main/java/org/saffronshore/http/Request.java
+++ b/src/main/java/org/saffronshore/http/Request.java
@@ -10,7 +10,7 @@
     return body == null ? null : Json.parse(body);
   }
 
-  public boolean is(String wantedMethod) {
+  public boolean hasMethod(String wantedMethod) {
     return method.equals(wantedMethod);
   }
 }
--- a/src/main/java/org/saffronshore/http/Answer.java
+++ b/src/main/java/org/saffronshore/http/Response.java
@@ -7,14 +7,14 @@
  * What became of a request of ours. A request that was not sent cannot take effect; one that was
  * lost may have taken effect, or may yet do so at any later time.
  */
-public record Answer(int status, byte[] body) {
-  public static final Answer NOT_SENT = new Answer(-1, new byte[0]);
-  public static final Answer LOST = new Answer(0, new byte[0]);
+public record Response(int status, byte[] body) {
+  public static final Response NOT_SENT = new Response(-1, new byte[0]);
+  public static final Response LOST = new Response(0, new byte[0]);
 
   /** Receives the answer on the loop. */
   @FunctionalInterface
-  public interface Receiver {
-    void receive(Answer answer);
+  public interface Callback {
+    void onResponse(Response answer);
   }
 
   public boolean ok() {
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -1,7 +1,7 @@
 package org.saffronshore.leadership;
 
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,7 +12,7 @@
 public final class LeaderTerm {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Leadership leadership;
   private final long number;
 
@@ -31,11 +31,11 @@
    * @param onPause is called when the process has been paused while its clock ran on
    */
   public LeaderTerm(
-      Loop loop, Settings settings, Leadership leadership, long number, Runnable onPause) {
+      EventLoop loop, Settings settings, Leadership leadership, long number, Runnable onPause) {
     this.loop = loop;
     this.leadership = leadership;
     this.number = number;
-    this.pauseThresholdS = settings.reportS() / 3;
+    this.pauseThresholdS = settings.heartbeatIntervalS() / 3;
     this.onPause = onPause;
     this.lastCheckedAt = loop.now();
   }
@@ -99,7 +99,7 @@
    * @param seconds the time between the end of one run and the start of the next
    */
   public void repeatWhileActive(double seconds, Runnable action) {
-    loop.after(
+    loop.schedule(
         seconds,
         () -> {
           if (ended) {
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
-import org.saffronshore.state.Changes;
-import org.saffronshore.state.KeyState;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.state.GetResult;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.LeaderRecord;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
+import org.saffronshore.state.Transaction;
+import org.saffronshore.state.WatchResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,9 +31,9 @@
      * This node leads from now on: the key has this version, and nobody led before its revision
      * without ending.
      */
-    void elected(long term, long keyVersion);
+    void onElected(long term, long keyVersion);
 
-    void deposed(String why);
+    void onDeposed(String why);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -42,9 +42,9 @@
    * The life of the leader's lease as a share of a worker's lease: a new leader has to be there
    * before the leases of workers run out.
    */
-  private static final double LIFE_PER_LEASE = 1.0 / 5;
+  private static final double LEASE_SHARE_OF_WORKER_LEASE = 1.0 / 5;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
   private final Settings settings;
   private final RandomGenerator random;
@@ -53,7 +53,7 @@
   private final LeaseGrants leaseGrants;
   private final StateServiceVoting stateServiceVoting;
   private final StoreLease lease;
-  private final double lifeS;
+  private final double leaseDurationS;
 
   /** Distinguishes this process from earlier ones of the same node. */
   private final String incarnation;
@@ -61,7 +61,7 @@
   private boolean leading;
   private boolean campaigning;
   private long term;
-  private long keyVersion;
+  private long leaderKeyVersion;
   private String leaderNode;
   private long leaderTerm = -1;
 
@@ -74,7 +74,7 @@
 
   /** Takes part in elections once {@link #start} is called. */
   public Leadership(
-      Loop loop,
+      EventLoop loop,
       StateClient state,
       Settings settings,
       RandomGenerator random,
@@ -85,13 +85,14 @@
     this.settings = settings;
     this.random = random;
     this.listener = listener;
-    this.lifeS = Math.max(0.1, settings.leaseS() * LIFE_PER_LEASE);
+    this.leaseDurationS = Math.max(0.1, settings.workerLeaseS() * LEASE_SHARE_OF_WORKER_LEASE);
     this.incarnation = Long.toHexString(random.nextLong());
     this.peerVoting = peerVoting;
-    this.lease = new StoreLease(loop, state, lifeS, () -> stepDown("its lease has expired"));
-    this.leaseGrants = new LeaseGrants(loop, lifeS, settings.controllers());
+    this.lease =
+        new StoreLease(loop, state, leaseDurationS, () -> stepDown("its lease has expired"));
+    this.leaseGrants = new LeaseGrants(loop, leaseDurationS, settings.controllerCount());
     this.stateServiceVoting =
-        new StateServiceVoting(loop, state, settings.node(), incarnation, lifeS / 2);
+        new StateServiceVoting(loop, state, settings.node(), incarnation, leaseDurationS / 2);
   }
 
   public void start() {
@@ -139,7 +140,7 @@
    * Whether this node grants its lease to a peer. Leases are for when the state service is away for
    * everybody: a leader that it refuses alone, or whose key is gone, gets none.
    */
-  public boolean grant(
+  public boolean grantLease(
       String node,
       String life,
       long askedTerm,
@@ -152,11 +153,11 @@
     return leaseGrants.grant(node, life, askedTerm);
   }
 
-  public void peerWithdrew(String node, String life, long askedTerm) {
+  public void recordWithdrawal(String node, String life, long askedTerm) {
     leaseGrants.withdraw(node, life, askedTerm);
   }
 
-  public boolean leading() {
+  public boolean isLeading() {
     return leading;
   }
 
@@ -164,8 +165,8 @@
     return term;
   }
 
-  public long keyVersion() {
-    return keyVersion;
+  public long leaderKeyVersion() {
+    return leaderKeyVersion;
   }
 
   /** The node that leads as far as is known here, or null. */
@@ -178,7 +179,7 @@
    * others.
    */
   private double pause() {
-    return lifeS / 10 * (0.5 + random.nextDouble());
+    return leaseDurationS / 10 * (0.5 + random.nextDouble());
   }
 
   private void readLeader() {
@@ -189,32 +190,32 @@
         Keys.LEADER,
         true,
         answer -> {
-          if (answer.found()) {
+          if (answer.isFound()) {
             leaderFound(answer);
-          } else if (answer.missing()) {
+          } else if (answer.isMissing()) {
             leaderNode = null;
             leaderTerm = -1;
             if (loop.now() < campaignAgainAt) {
-              loop.after(pause(), this::readLeader);
+              loop.schedule(pause(), this::readLeader);
             } else {
               campaign();
             }
           } else {
             leaderNode = null;
-            loop.after(pause(), this::readLeader);
+            loop.schedule(pause(), this::readLeader);
           }
         });
   }
 
-  private void leaderFound(KeyState key) {
+  private void leaderFound(GetResult key) {
     LeaderRecord leader = LeaderRecord.parse(key.value());
     leaderNode = leader.node();
     leaderTerm = leader.term();
     if (settings.node().equals(leaderNode) && !incarnation.equals(leader.incarnation())) {
       // The key belongs to an earlier incarnation of this node: it need not be waited out.
       leaderNode = null;
-      LOG.info("ending the lease {} of an earlier incarnation of this node", key.lease());
-      state.release(key.lease(), () -> loop.after(pause() / 4, this::readLeader));
+      LOG.info("ending the lease {} of an earlier incarnation of this node", key.leaseId());
+      state.revokeLease(key.leaseId(), () -> loop.schedule(pause() / 4, this::readLeader));
       return;
     }
     watchFrom = key.version();
@@ -225,20 +226,20 @@
     state.watch(
         Keys.LEADER,
         watchFrom,
-        lifeS,
+        leaseDurationS,
         answer -> {
-          if (!answer.received()) {
+          if (!answer.isReceived()) {
             // What is known may be old now. Saying nobody leads only sends workers to ask the next
             // node.
-            leaderNode = answer.outcome() == Changes.Outcome.TOO_OLD ? leaderNode : null;
-            loop.after(pause(), this::readLeader);
-          } else if (answer.changes().isEmpty()) {
+            leaderNode = answer.outcome() == WatchResult.Outcome.COMPACTED ? leaderNode : null;
+            loop.schedule(pause(), this::readLeader);
+          } else if (answer.events().isEmpty()) {
             watchFrom = answer.revision();
             watchLeader();
           } else {
             leaderNode = null;
             leaderTerm = -1;
-            loop.after(random.nextDouble() * lifeS / 20, this::readLeader);
+            loop.schedule(random.nextDouble() * leaseDurationS / 20, this::readLeader);
           }
         });
   }
@@ -249,9 +250,9 @@
         Keys.TERM,
         true,
         read -> {
-          if (read.unknown()) {
+          if (read.isUnknown()) {
             abandonCampaign(0);
-          } else if (read.missing()) {
+          } else if (read.isMissing()) {
             campaign(new LeaderRecord(null, null, 0), 0);
           } else {
             campaign(LeaderRecord.parse(read.value()), read.version());
@@ -324,7 +325,7 @@
   private void campaignThroughStateService(long lastTerm, long termVersion) {
     stateServiceVoting.requestVotes(
         lastTerm + 1,
-        (node, life, asked) -> grant(node, life, asked, true, true, true),
+        (node, life, asked) -> grantLease(node, life, asked, true, true, true),
         granted -> granted.size() + 1 >= leaseGrants.majority(),
         granted -> {
           if (elected(lastTerm + 1, granted.size())) {
@@ -361,8 +362,8 @@
 
   private void acquireLease(long lastTerm, long termVersion) {
     double sentAt = loop.now();
-    state.grant(
-        lifeS,
+    state.grantLease(
+        leaseDurationS,
         lease -> {
           if (lease.isEmpty()) {
             abandonCampaign(0);
@@ -375,17 +376,17 @@
   private void claim(long mine, double sentAt, long lastTerm, long termVersion) {
     long next = lastTerm + 1;
     LeaderRecord claimed = new LeaderRecord(settings.node(), incarnation, next);
-    Txn txn =
-        new Txn()
-            .guard(Keys.LEADER, 0)
-            .guard(Keys.TERM, termVersion)
-            .set(Keys.LEADER, claimed.toJson(), mine)
-            .set(Keys.TERM, claimed.toJson());
+    Transaction txn =
+        new Transaction()
+            .expectVersion(Keys.LEADER, 0)
+            .expectVersion(Keys.TERM, termVersion)
+            .put(Keys.LEADER, claimed.toJson(), mine)
+            .put(Keys.TERM, claimed.toJson());
     state.commit(
         txn,
         true,
         result -> {
-          if (!result.committed()) {
+          if (!result.isCommitted()) {
             // A claim whose answer was lost may still be carried out, while the lease lives.
             abandonCampaign(mine);
             return;
@@ -393,7 +394,7 @@
           campaigning = false;
           leading = true;
           term = next;
-          keyVersion = result.revision();
+          leaderKeyVersion = result.revision();
           lease.begin(mine, sentAt);
           renewalsAllowedUntil = Double.NEGATIVE_INFINITY;
           leaseGrants.clearHeld();
@@ -402,8 +403,8 @@
               settings.node(),
               term,
               mine,
-              keyVersion);
-          listener.elected(term, keyVersion);
+              leaderKeyVersion);
+          listener.onElected(term, leaderKeyVersion);
         });
   }
 
@@ -414,15 +415,15 @@
           readLeader();
         };
     if (mine == 0) {
-      loop.after(pause(), again);
+      loop.schedule(pause(), again);
     } else {
-      state.release(mine, () -> loop.after(pause(), again));
+      state.revokeLease(mine, () -> loop.schedule(pause(), again));
     }
   }
 
   /** Steps down for the others, and lets them try for a while before it campaigns again. */
   public void yieldLeadership(String why) {
-    campaignAgainAt = loop.now() + settings.leaseS() / 2;
+    campaignAgainAt = loop.now() + settings.workerLeaseS() / 2;
     stepDown(why);
   }
 
@@ -436,8 +437,8 @@
     leaseGrants.clearHeld();
     leaderNode = null;
     leaderTerm = -1;
-    listener.deposed(why);
+    listener.onDeposed(why);
     peerVoting.withdraw(term);
-    lease.release(() -> loop.after(lifeS / 2, this::readLeader));
+    lease.release(() -> loop.schedule(leaseDurationS / 2, this::readLeader));
   }
 }
--- a/src/main/java/org/saffronshore/leadership/LeaseGrants.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseGrants.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * Leader leases that the controllers grant one another. While a quorum, the leader included, keeps
@@ -13,8 +13,8 @@
  * grantor, and two leaders can never hold a quorum's leases at once.
  */
 public final class LeaseGrants {
-  private final Loop loop;
-  private final double lengthS;
+  private final EventLoop loop;
+  private final double leaseDurationS;
   private final int majority;
   private final double noGrantsUntil;
   private String holder;
@@ -23,14 +23,14 @@
   private final Map<String, Double> heldFrom = new HashMap<>();
 
   /**
-   * @param lengthS how long a lease lasts
+   * @param leaseDurationS how long a lease lasts
    */
-  public LeaseGrants(Loop loop, double lengthS, int nodes) {
+  public LeaseGrants(EventLoop loop, double lengthS, int nodes) {
     this.loop = loop;
-    this.lengthS = lengthS;
+    this.leaseDurationS = lengthS;
     this.majority = nodes / 2 + 1;
     // An earlier incarnation may have granted a lease that this one does not know of.
-    this.noGrantsUntil = loop.now() + Settings.longestLocalTime(lengthS);
+    this.noGrantsUntil = loop.now() + Settings.maxLocalDuration(lengthS);
   }
 
   public int majority() {
@@ -50,7 +50,7 @@
     }
     holder = asking;
     holderTerm = term;
-    grantedUntil = now + Settings.longestLocalTime(lengthS);
+    grantedUntil = now + Settings.maxLocalDuration(leaseDurationS);
     return true;
   }
 
@@ -84,6 +84,6 @@
     }
     return from.length < needed
         ? Double.NEGATIVE_INFINITY
-        : from[from.length - needed] + Settings.shortestLocalTime(lengthS);
+        : from[from.length - needed] + Settings.minLocalDuration(leaseDurationS);
   }
 }
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
+import org.saffronshore.state.Transaction;
 import org.saffronshore.state.VoteRequest;
 
 /**
@@ -28,20 +28,20 @@
     boolean grant(String node, String life, long term);
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
   private final String node;
-  private final String life;
+  private final String incarnation;
   private final double roundS;
   private long requests;
   private VoteRequest lastSeen;
   private int seen;
 
-  StateServiceVoting(Loop loop, StateClient state, String node, String life, double roundS) {
+  StateServiceVoting(EventLoop loop, StateClient state, String node, String life, double roundS) {
     this.loop = loop;
     this.state = state;
     this.node = node;
-    this.life = life;
+    this.incarnation = life;
     this.roundS = roundS;
   }
 
@@ -49,14 +49,14 @@
   void requestVotes(
       long term, Granter granter, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
     state.get(
-        Keys.CALL,
+        Keys.VOTE_REQUEST,
         true,
         key -> {
-          if (key.unknown()) {
+          if (key.isUnknown()) {
             then.accept(Set.of());
             return;
           }
-          VoteRequest other = key.found() ? VoteRequest.parse(key.value()) : null;
+          VoteRequest other = key.isFound() ? VoteRequest.parse(key.value()) : null;
           if (other != null && hasPrecedence(other, term)) {
             vote(other, key.version(), granter, () -> then.accept(Set.of()));
           } else {
@@ -82,20 +82,26 @@
       return;
     }
     // If it is carried out late, it must not replace a vote for a later request.
-    Txn txn = new Txn().guard(Keys.CALL, version).set(Keys.vote(node), other.toVote());
+    Transaction txn =
+        new Transaction()
+            .expectVersion(Keys.VOTE_REQUEST, version)
+            .put(Keys.vote(node), other.toVote());
     state.commit(txn, true, result -> then.run());
   }
 
   private void request(
       long term, long version, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
-    VoteRequest request = new VoteRequest(node, life, term, ++requests);
-    Txn txn = new Txn().guard(Keys.CALL, version).set(Keys.CALL, request.toJson());
+    VoteRequest request = new VoteRequest(node, incarnation, term, ++requests);
+    Transaction txn =
+        new Transaction()
+            .expectVersion(Keys.VOTE_REQUEST, version)
+            .put(Keys.VOTE_REQUEST, request.toJson());
     state.commit(
         txn,
         true,
         result -> {
-          if (result.committed()) {
-            loop.after(roundS / LOOKS, () -> readVotes(request, 1, enough, then));
+          if (result.isCommitted()) {
+            loop.schedule(roundS / LOOKS, () -> readVotes(request, 1, enough, then));
           } else {
             then.accept(Set.of());
           }
@@ -117,7 +123,7 @@
           if (enough.test(granted) || looks >= LOOKS) {
             then.accept(granted);
           } else {
-            loop.after(roundS / LOOKS, () -> readVotes(request, looks + 1, enough, then));
+            loop.schedule(roundS / LOOKS, () -> readVotes(request, looks + 1, enough, then));
           }
         });
   }
--- a/src/main/java/org/saffronshore/leadership/StoreLease.java
+++ b/src/main/java/org/saffronshore/leadership/StoreLease.java
@@ -1,7 +1,7 @@
 package org.saffronshore.leadership;
 
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.StateClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -14,9 +14,9 @@
   /** The pause after a failed renewal, as a share of the lease's life. */
   private static final double RETRY_SHARE = 1.0 / 20;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
-  private final double lifeS;
+  private final double durationS;
   private final Runnable onExpired;
   private long id;
   private double validUntil = Double.NEGATIVE_INFINITY;
@@ -24,19 +24,19 @@
   /** Which lease a scheduled renewal belongs to; renewals of earlier ones are dropped. */
   private int generation;
 
-  StoreLease(Loop loop, StateClient state, double lifeS, Runnable onExpired) {
+  StoreLease(EventLoop loop, StateClient state, double lifeS, Runnable onExpired) {
     this.loop = loop;
     this.state = state;
-    this.lifeS = lifeS;
+    this.durationS = lifeS;
     this.onExpired = onExpired;
   }
 
   /** Keeps a lease that was requested at that moment. */
   void begin(long leaseId, double requestedAt) {
     id = leaseId;
-    validUntil = requestedAt + Settings.shortestLocalTime(lifeS);
+    validUntil = requestedAt + Settings.minLocalDuration(durationS);
     generation++;
-    renewAfter(lifeS / RENEWALS_PER_LIFE, generation);
+    renewAfter(durationS / RENEWALS_PER_LIFE, generation);
   }
 
   /** Whether it provably lives, counted from when the last renewal that succeeded was sent. */
@@ -48,11 +48,11 @@
   void release(Runnable then) {
     generation++;
     validUntil = Double.NEGATIVE_INFINITY;
-    state.release(id, then);
+    state.revokeLease(id, then);
   }
 
   private void renewAfter(double seconds, int of) {
-    loop.after(
+    loop.schedule(
         seconds,
         () -> {
           if (of == generation) {
@@ -63,24 +63,24 @@
 
   private void renew(int of) {
     double sentAt = loop.now();
-    state.renew(
+    state.renewLease(
         id,
-        Math.min(StateClient.TIMEOUT_S, lifeS / 2),
+        Math.min(StateClient.TIMEOUT_S, durationS / 2),
         renewal -> {
           if (of != generation) {
             return;
           }
           switch (renewal) {
             case RENEWED -> {
-              validUntil = Math.max(validUntil, sentAt + Settings.shortestLocalTime(lifeS));
-              renewAfter(lifeS / RENEWALS_PER_LIFE, of);
+              validUntil = Math.max(validUntil, sentAt + Settings.minLocalDuration(durationS));
+              renewAfter(durationS / RENEWALS_PER_LIFE, of);
             }
             case EXPIRED -> onExpired.run();
             default -> {
               // Not the end yet, even when it is not valid any more: after an outage of the state
               // service every lease has its full time again.
               LOG.debug("a renewal failed; lease valid: {}", valid());
-              renewAfter(lifeS * RETRY_SHARE, of);
+              renewAfter(durationS * RETRY_SHARE, of);
             }
           }
         });
--- a/src/main/java/org/saffronshore/peer/Progress.java
+++ b/src/main/java/org/saffronshore/peer/JobProgress.java
@@ -1,7 +1,7 @@
 package org.saffronshore.peer;
 
 /** How far a job is, as shown to users. */
-public record Progress(int done, int running) {
+public record JobProgress(int done, int running) {
   /** Nothing is known to run or to be done. */
-  public static final Progress NONE = new Progress(0, 0);
+  public static final JobProgress NONE = new JobProgress(0, 0);
 }
--- a/src/main/java/org/saffronshore/peer/PeerMessage.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessage.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
@@ -12,20 +12,20 @@
  *
  * @param node the sender
  * @param incarnation distinguishes the sending process from earlier ones of the same node
- * @param number rises with every message of a process, so that copies and late messages are known
- * @param served whether the state service answers the sender
- * @param servedAgoS how long ago it last did
+ * @param sequence rises with every message of a process, so that copies and late messages are known
+ * @param stateServiceAvailable whether the state service answers the sender
+ * @param stateServiceAvailableAgoS how long ago it last did
  * @param term the term that the sender leads or wants to lead, or {@link #NO_TERM}
- * @param progress how far jobs are, from a leader only; null otherwise
+ * @param jobProgress how far jobs are, from a leader only; null otherwise
  */
 public record PeerMessage(
     String node,
     String incarnation,
-    long number,
-    boolean served,
-    double servedAgoS,
+    long sequence,
+    boolean stateServiceAvailable,
+    double stateServiceAvailableAgoS,
     long term,
-    Map<String, Progress> progress) {
+    Map<String, JobProgress> jobProgress) {
 
   /** The term of a sender that neither leads nor wants to. */
   public static final long NO_TERM = -1;
@@ -34,17 +34,17 @@
   private static final double LONGEST_AGO_S = 1e9;
 
   /** Reads a message; one without a sender is refused. */
-  public static PeerMessage parse(byte[] body) throws InvalidField {
+  public static PeerMessage parse(byte[] body) throws InvalidFieldException {
     JsonNode message = body == null ? null : Json.parseCbor(body);
     if (message == null || !message.isObject()) {
-      throw new InvalidField("body", "must be an object in CBOR");
+      throw new InvalidFieldException("body", "must be an object in CBOR");
     }
     PeerMessage parsed = parse(message);
     if (parsed.node == null) {
-      throw new InvalidField("node", "is missing");
+      throw new InvalidFieldException("node", "is missing");
     }
     if (parsed.incarnation == null) {
-      throw new InvalidField("life", "is missing");
+      throw new InvalidFieldException("life", "is missing");
     }
     return parsed;
   }
@@ -54,21 +54,21 @@
     return new PeerMessage(
         Json.text(message, "node"),
         Json.text(message, "life"),
-        Json.count(message, "n", 0),
-        Json.flag(message, "served"),
+        Json.integer(message, "n", 0),
+        Json.bool(message, "served"),
         Json.number(message, "served_s", Double.POSITIVE_INFINITY),
-        Json.count(message, "term", NO_TERM),
-        progress(message.path("jobs")));
+        Json.integer(message, "term", NO_TERM),
+        jobProgress(message.path("jobs")));
   }
 
-  private static Map<String, Progress> progress(JsonNode jobs) {
+  private static Map<String, JobProgress> jobProgress(JsonNode jobs) {
     if (!jobs.isObject()) {
       return null;
     }
-    Map<String, Progress> all = new HashMap<>();
+    Map<String, JobProgress> all = new HashMap<>();
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       JsonNode counts = job.getValue();
-      all.put(job.getKey(), new Progress(counts.path(0).asInt(), counts.path(1).asInt()));
+      all.put(job.getKey(), new JobProgress(counts.path(0).asInt(), counts.path(1).asInt()));
     }
     return all;
   }
@@ -83,15 +83,15 @@
         Json.object()
             .put("node", node)
             .put("life", incarnation)
-            .put("n", number)
-            .put("served", served)
-            .put("served_s", Math.min(LONGEST_AGO_S, servedAgoS));
+            .put("n", sequence)
+            .put("served", stateServiceAvailable)
+            .put("served_s", Math.min(LONGEST_AGO_S, stateServiceAvailableAgoS));
     if (term != NO_TERM) {
       tree.put("term", term);
     }
-    if (progress != null) {
+    if (jobProgress != null) {
       ObjectNode jobs = tree.putObject("jobs");
-      progress.forEach((job, p) -> jobs.putArray(job).add(p.done()).add(p.running()));
+      jobProgress.forEach((job, p) -> jobs.putArray(job).add(p.done()).add(p.running()));
     }
     return tree;
   }
--- a/src/main/java/org/saffronshore/peer/PeerAnswer.java
+++ b/src/main/java/org/saffronshore/peer/PeerResponse.java
@@ -5,17 +5,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
  * What a controller answers to a {@link PeerMessage}.
  *
  * @param sender who answers; of it the node may be null
- * @param granted whether it grants its leader lease
+ * @param leaseGranted whether it grants its leader lease
  * @param cancellations what it knows of cancellations, for a leader only; null otherwise
  */
-public record PeerAnswer(PeerMessage sender, boolean granted, Cancellations cancellations) {
+public record PeerResponse(PeerMessage sender, boolean leaseGranted, Cancellations cancellations) {
 
   /**
    * The cancellations that a controller learned of lately.
@@ -23,16 +23,16 @@
    * @param jobs the cancelled jobs
    * @param coversS for how many seconds back none is missing
    */
-  public record Cancellations(List<String> jobs, double coversS) {}
+  public record Cancellations(List<String> jobs, double completeForS) {}
 
   /** Reads an answer; fields that an earlier version does not send are taken as not known. */
-  public static PeerAnswer parse(byte[] body) throws InvalidField {
+  public static PeerResponse parse(byte[] body) throws InvalidFieldException {
     JsonNode answer = body == null ? null : Json.parseCbor(body);
     if (answer == null || !answer.isObject()) {
-      throw new InvalidField("body", "must be an object in CBOR");
+      throw new InvalidFieldException("body", "must be an object in CBOR");
     }
-    return new PeerAnswer(
-        PeerMessage.parse(answer), Json.flag(answer, "granted"), cancellations(answer));
+    return new PeerResponse(
+        PeerMessage.parse(answer), Json.bool(answer, "granted"), cancellations(answer));
   }
 
   private static Cancellations cancellations(JsonNode answer) {
@@ -50,8 +50,8 @@
     if (cancellations != null) {
       ArrayNode jobs = tree.putArray("cancelled");
       cancellations.jobs().forEach(jobs::add);
-      tree.put("cancelled_s", cancellations.coversS());
+      tree.put("cancelled_s", cancellations.completeForS());
     }
-    return Json.cbor(tree.put("granted", granted));
+    return Json.cbor(tree.put("granted", leaseGranted));
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
+++ b/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
@@ -34,7 +34,7 @@
           job.cpus(),
           job.gpus(),
           job.memoryGb(),
-          job.types(),
+          job.machineTypes(),
           job.zone(),
           job.spot());
     }
@@ -42,7 +42,7 @@
 
   boolean noRoom(JobSpec job) {
     for (JobSpec failed : noRoom) {
-      if (job.asksNoLess(failed)) {
+      if (job.requiresAtLeast(failed)) {
         return true;
       }
     }
@@ -62,12 +62,12 @@
   }
 
   /** A team has more than before: more of it may be beyond its guarantee, and so be stopped. */
-  void teamsChanged() {
+  void onTeamsChanged() {
     noVictims.clear();
   }
 
   /** Tasks are to be stopped: there is room where there was none. */
-  void roomMade() {
+  void onRoomMade() {
     noRoom.clear();
     noVictims.clear();
   }
--- a/src/main/java/org/saffronshore/scheduling/Host.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -16,28 +16,28 @@
  * evicted in memory, will leave. A task that only fits the latter is promised its place, not
  * started there.
  */
-public final class Host {
+public final class MachineView {
   public final String id;
   public final MachineKind kind;
   final double cpus;
   public final Resources free;
-  public final Resources room;
-  final List<HostedTask> slots = new ArrayList<>();
+  public final Resources freeAfterStops;
+  final List<PlacedTask> preemptibleTasks = new ArrayList<>();
   final Map<String, Integer> teams = new HashMap<>(8);
-  private final Predicate<TaskId> barred;
+  private final Predicate<TaskId> hasTraceOf;
   private final Set<String> images;
 
   /** The lowest class among the tasks that could be stopped, as an ordinal. */
   private int lowest = Integer.MAX_VALUE;
 
-  private boolean touched;
-  private boolean kept;
+  private boolean modified;
+  private boolean reserved;
 
   /**
-   * @param barred tasks that may not be put here
+   * @param hasTraceOf tasks that may not be put here
    * @param images what it holds; may change between cycles, but not in one
    */
-  public Host(
+  public MachineView(
       String id,
       MachineKind kind,
       Resources capacity,
@@ -47,68 +47,68 @@
     this.kind = kind;
     this.cpus = capacity.cpus;
     this.free = capacity;
-    this.room = capacity.copy();
-    this.barred = barred;
+    this.freeAfterStops = capacity.copy();
+    this.hasTraceOf = barred;
     this.images = images;
   }
 
   /** Puts a task that is there already. */
-  public void add(HostedTask slot) {
-    free.take(slot.job());
+  public void add(PlacedTask slot) {
+    free.subtract(slot.job());
     if (!slot.stopping()) {
-      room.take(slot.job());
+      freeAfterStops.subtract(slot.job());
       teams.merge(slot.job().team(), 1, Integer::sum);
-      if (!slot.kept()) {
-        slots.add(slot);
+      if (!slot.exemptFromPreemption()) {
+        preemptibleTasks.add(slot);
         lowest = Math.min(lowest, slot.job().priority().ordinal());
       }
     }
   }
 
   /** Whether a cycle has changed it, so that it shows the machine no longer as it is. */
-  public boolean touched() {
-    return touched;
+  public boolean isModified() {
+    return modified;
   }
 
   /** Whether it has tasks of a class below this one. */
-  boolean hasBelow(int priority) {
+  boolean hasLowerPriority(int priority) {
     return lowest < priority;
   }
 
   /** Whether it has tasks of any other team. */
-  boolean hasOthers(String team) {
+  boolean hasOtherTeams(String team) {
     return teams.size() > 1 || teams.size() == 1 && !teams.containsKey(team);
   }
 
-  void leave(HostedTask slot) {
-    touched = true;
-    room.give(slot.job());
-    slots.remove(slot);
+  void evict(PlacedTask slot) {
+    modified = true;
+    freeAfterStops.add(slot.job());
+    preemptibleTasks.remove(slot);
     teams.merge(slot.job().team(), -1, (a, b) -> a + b == 0 ? null : a + b);
   }
 
-  void enter(JobSpec job) {
-    touched = true;
-    room.take(job);
+  void place(JobSpec job) {
+    modified = true;
+    freeAfterStops.subtract(job);
     teams.merge(job.team(), 1, Integer::sum);
   }
 
   /** Takes nothing more in this cycle. */
-  void keep() {
-    touched = true;
-    kept = true;
-    room.cpus = 0;
+  void reserve() {
+    modified = true;
+    reserved = true;
+    freeAfterStops.cpus = 0;
   }
 
-  boolean kept() {
-    return kept;
+  boolean isReserved() {
+    return reserved;
   }
 
-  boolean barred(TaskId task) {
-    return barred.test(task);
+  boolean hasTraceOf(TaskId task) {
+    return hasTraceOf.test(task);
   }
 
-  boolean holds(String image) {
+  boolean hasImage(String image) {
     return images.contains(image);
   }
 
@@ -116,7 +116,7 @@
    * 0 where only this team is, 1 where others are, 2 where nobody is: the order in which sets are
    * tried.
    */
-  int set(String team) {
+  int sharingRank(String team) {
     return teams.isEmpty() ? 2 : teams.size() == 1 && teams.containsKey(team) ? 0 : 1;
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -13,22 +13,23 @@
   public final long order;
 
   private final BitSet tasks;
-  private final Map<String, Integer> perZone;
+  private final Map<String, Integer> tasksPerZone;
   private boolean overdue;
   private int next;
-  private int left;
+  private int remaining;
 
   /**
    * @param tasks which tasks wait; only read, and not to be changed while the cycle runs
-   * @param perZone how many of its other tasks each zone has, where the job's rules ask for that
+   * @param tasksPerZone how many of its other tasks each zone has, where the job's rules ask for
+   *     that
    */
   public PendingJob(JobSpec job, long order, BitSet tasks, Map<String, Integer> perZone) {
     this.job = job;
     this.order = order;
     this.tasks = tasks;
-    this.perZone = perZone.isEmpty() ? new HashMap<>(4) : new HashMap<>(perZone);
+    this.tasksPerZone = perZone.isEmpty() ? new HashMap<>(4) : new HashMap<>(perZone);
     this.next = tasks.nextSetBit(0);
-    this.left = tasks.cardinality();
+    this.remaining = tasks.cardinality();
   }
 
   /** The job has waited for very long, and nothing of it has ever run. */
@@ -46,17 +47,17 @@
   }
 
   /** Whether the job's rules ask where its other tasks are. */
-  public static boolean zonesMatter(JobSpec job) {
-    return job.oneZone() || job.spread();
+  public static boolean hasZoneConstraint(JobSpec job) {
+    return job.singleZone() || job.spread();
   }
 
   boolean isEmpty() {
-    return left == 0;
+    return remaining == 0;
   }
 
   /** How many tasks have not been placed yet. */
-  int left() {
-    return left;
+  int remaining() {
+    return remaining;
   }
 
   /** The first task that has not been placed yet. */
@@ -65,20 +66,20 @@
   }
 
   /** The first task was placed in a zone. */
-  void entered(String zone) {
+  void taskPlaced(String zone) {
     next = tasks.nextSetBit(next + 1);
-    left--;
+    remaining--;
     overdue = false;
-    if (zonesMatter(job)) {
-      perZone.merge(zone, 1, Integer::sum);
+    if (hasZoneConstraint(job)) {
+      tasksPerZone.merge(zone, 1, Integer::sum);
     }
   }
 
   /** Whether one more task of the job may be in this zone, given the job's other tasks. */
   boolean zoneAllowed(String zone) {
-    if (job.oneZone() && !perZone.isEmpty() && !perZone.containsKey(zone)) {
+    if (job.singleZone() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone)) {
       return false;
     }
-    return !job.spread() || perZone.getOrDefault(zone, 0) < job.spreadLimit();
+    return !job.spread() || tasksPerZone.getOrDefault(zone, 0) < job.spreadLimit();
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/TeamUse.java
+++ b/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
@@ -9,7 +9,7 @@
  * @param cpus its CPUs
  * @param gpus its GPUs
  */
-public record TeamUse(String team, Amounts cpus, Amounts gpus) {
+public record QuotaUsage(String team, Amounts cpus, Amounts gpus) {
 
   /**
    * Amounts of one resource.
--- a/src/main/java/org/saffronshore/scheduling/Resources.java
+++ b/src/main/java/org/saffronshore/scheduling/Resources.java
@@ -18,7 +18,7 @@
   }
 
   /** All that a machine of a type has. */
-  public static Resources of(MachineType type) {
+  public static Resources capacityOf(MachineType type) {
     return new Resources(type.cpus(), type.gpus(), type.memoryGb());
   }
 
@@ -38,25 +38,25 @@
   }
 
   /** Takes what one task uses. */
-  public void take(JobSpec job) {
+  public void subtract(JobSpec job) {
     cpus -= job.cpus();
     gpus -= job.gpus();
     memoryGb -= job.memoryGb();
   }
 
-  public void give(JobSpec job) {
-    give(job, 1);
+  public void add(JobSpec job) {
+    add(job, 1);
   }
 
   /** Gives back what some tasks use. */
-  public void give(JobSpec job, int tasks) {
+  public void add(JobSpec job, int tasks) {
     cpus += job.cpus() * tasks;
     gpus += job.gpus() * tasks;
     memoryGb += job.memoryGb() * tasks;
   }
 
   /** Adds another amount. */
-  public void give(Resources other) {
+  public void add(Resources other) {
     cpus += other.cpus;
     gpus += other.gpus;
     memoryGb += other.memoryGb;
--- a/src/main/java/org/saffronshore/scheduling/Cycle.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
@@ -19,10 +19,10 @@
  * evict-reschedule-stop. A pure function of the view and the seed; it changes only the scratch
  * objects given to it.
  */
-public final class Cycle {
+public final class SchedulingCycle {
 
   /** A queue entry: a pending job, or one evicted task that may only return to its own host. */
-  private record Entry(PendingJob pending, HostedTask evicted, Host home) {
+  private record Entry(PendingJob pending, PlacedTask evicted, MachineView home) {
     JobSpec job() {
       return evicted != null ? evicted.job() : pending.job;
     }
@@ -32,19 +32,22 @@
     }
   }
 
-  private final Collection<Host> hosts;
+  private final Collection<MachineView> hosts;
   private final Map<String, Team> teams;
   private final SchedulingSettings tuning;
   private final Map<String, List<Entry>> queues = new LinkedHashMap<>();
-  private final List<Plan.Placement> placements = new ArrayList<>();
-  private final List<Plan.Stop> stops = new ArrayList<>();
-  private final List<Plan.LimitedTasks> limited = new ArrayList<>();
+  private final List<SchedulingPlan.Placement> placements = new ArrayList<>();
+  private final List<SchedulingPlan.Preemption> stops = new ArrayList<>();
+  private final List<SchedulingPlan.QuotaLimitedTasks> limited = new ArrayList<>();
   private final Map<PendingJob, Integer> unmet = new LinkedHashMap<>();
   private final double now;
   private final FailedPlacements failures = new FailedPlacements();
 
-  private Cycle(
-      Collection<Host> hosts, Map<String, Team> teams, SchedulingSettings tuning, double now) {
+  private SchedulingCycle(
+      Collection<MachineView> hosts,
+      Map<String, Team> teams,
+      SchedulingSettings tuning,
+      double now) {
     this.hosts = hosts;
     this.teams = teams;
     this.tuning = tuning;
@@ -52,23 +55,23 @@
   }
 
   /** Runs a cycle; only one with {@code evict} reconsiders tasks that are running. */
-  public static Plan run(
-      Collection<Host> hosts,
+  public static SchedulingPlan run(
+      Collection<MachineView> hosts,
       Collection<PendingJob> jobs,
       Map<String, Team> teams,
       SchedulingSettings tuning,
       boolean evict,
       RandomGenerator random,
       double now) {
-    Cycle cycle = new Cycle(hosts, teams, tuning, now);
+    SchedulingCycle cycle = new SchedulingCycle(hosts, teams, tuning, now);
     cycle.queue(jobs);
     if (evict) {
       cycle.evict(random);
     }
     cycle.fill();
-    List<Plan.UnplacedTasks> left = new ArrayList<>();
-    cycle.unmet.forEach((p, n) -> left.add(new Plan.UnplacedTasks(p.job, n)));
-    return new Plan(cycle.placements, cycle.stops, left, cycle.limited);
+    List<SchedulingPlan.UnplacedTasks> left = new ArrayList<>();
+    cycle.unmet.forEach((p, n) -> left.add(new SchedulingPlan.UnplacedTasks(p.job, n)));
+    return new SchedulingPlan(cycle.placements, cycle.stops, left, cycle.limited);
   }
 
   private void queue(Collection<PendingJob> jobs) {
@@ -102,18 +105,18 @@
       return;
     }
     Set<String> touched = new HashSet<>();
-    for (Host host : hosts) {
+    for (MachineView host : hosts) {
       if (random.nextDouble() >= tuning.evictionProbability()) {
         continue;
       }
-      for (HostedTask slot : List.copyOf(host.slots)) {
+      for (PlacedTask slot : List.copyOf(host.preemptibleTasks)) {
         Team owner = teams.get(slot.job().team());
         if (owner == null
             || starved.contains(slot.job().team())
             || !owner.beyondGuarantee(slot.job())) {
           continue;
         }
-        host.leave(slot);
+        host.evict(slot);
         owner.share(slot.job(), tuning, -1);
         queues
             .computeIfAbsent(slot.job().team(), t -> new ArrayList<>())
@@ -190,23 +193,26 @@
   private boolean step(Entry entry, Team team) {
     JobSpec job = entry.job();
     if (entry.evicted != null) {
-      if (entry.home.room.fits(job)) {
-        entry.home.enter(job);
+      if (entry.home.freeAfterStops.fits(job)) {
+        entry.home.place(job);
         team.share(job, tuning, 1);
-        failures.teamsChanged();
+        failures.onTeamsChanged();
       } else {
-        stops.add(new Plan.Stop(entry.evicted.task(), entry.home.id, "another team's guarantee"));
+        stops.add(
+            new SchedulingPlan.Preemption(
+                entry.evicted.task(), entry.home.id, "another team's guarantee"));
       }
       return true;
     }
     PendingJob pending = entry.pending;
     if (!team.withinLimit(job)) {
       limited.add(
-          new Plan.LimitedTasks(job, pending.left(), team.withinLimitOfKnown(job), team.use()));
+          new SchedulingPlan.QuotaLimitedTasks(
+              job, pending.remaining(), team.withinLimitOfKnown(job), team.use()));
       return true;
     }
     TaskId task = new TaskId(job.id(), pending.next());
-    Host host = choose(pending, task);
+    MachineView host = choose(pending, task);
     if (host == null) {
       host = preempt(pending, task, team);
     }
@@ -214,18 +220,18 @@
       if (pending.isOverdue()) {
         keepRoom(pending, task);
       }
-      unmet.put(pending, team.tasksWithinLimit(job, pending.left()));
+      unmet.put(pending, team.tasksWithinLimit(job, pending.remaining()));
       return true;
     }
     boolean overdue = pending.isOverdue();
-    pending.entered(host.kind.zone());
-    TeamUse counted = team.use();
+    pending.taskPlaced(host.kind.zone());
+    QuotaUsage counted = team.use();
     team.use(job, tuning);
-    failures.teamsChanged();
-    host.enter(job);
+    failures.onTeamsChanged();
+    host.place(job);
     if (host.free.fits(job)) {
-      host.free.take(job);
-      placements.add(new Plan.Placement(task, host.id, overdue, counted));
+      host.free.subtract(job);
+      placements.add(new SchedulingPlan.Placement(task, host.id, overdue, counted));
     }
     return pending.isEmpty();
   }
@@ -236,18 +242,18 @@
    * empty machines before shared ones; here every second of a machine is paid for, and one that
    * stays empty can be returned.
    */
-  private Host choose(PendingJob pending, TaskId task) {
+  private MachineView choose(PendingJob pending, TaskId task) {
     JobSpec job = pending.job;
     if (failures.noRoom(job)) {
       return null;
     }
-    Host best = null;
+    MachineView best = null;
     boolean narrowed = false;
-    for (Host host : hosts) {
-      if (!host.room.fits(job) || !host.kind.allows(job)) {
+    for (MachineView host : hosts) {
+      if (!host.freeAfterStops.fits(job) || !host.kind.allows(job)) {
         continue;
       }
-      if (!pending.zoneAllowed(host.kind.zone()) || host.barred(task)) {
+      if (!pending.zoneAllowed(host.kind.zone()) || host.hasTraceOf(task)) {
         narrowed = true;
       } else if (best == null || better(host, best, job)) {
         best = host;
@@ -266,23 +272,23 @@
    * would fill every gap before it is large enough.
    */
   private void keepRoom(PendingJob pending, TaskId task) {
-    Host most = null;
-    for (Host host : hosts) {
+    MachineView most = null;
+    for (MachineView host : hosts) {
       if (host.cpus + 1e-6 >= pending.job.cpus()
-          && !host.kept()
+          && !host.isReserved()
           && host.kind.allows(pending.job)
           && pending.zoneAllowed(host.kind.zone())
-          && !host.barred(task)
-          && (most == null || host.room.cpus > most.room.cpus)) {
+          && !host.hasTraceOf(task)
+          && (most == null || host.freeAfterStops.cpus > most.freeAfterStops.cpus)) {
         most = host;
       }
     }
     if (most != null) {
-      most.keep();
+      most.reserve();
     }
   }
 
-  private static boolean better(Host a, Host b, JobSpec job) {
+  private static boolean better(MachineView a, MachineView b, JobSpec job) {
     boolean nowA = a.free.fits(job);
     if (nowA != b.free.fits(job)) {
       return nowA;
@@ -290,44 +296,44 @@
     if (Math.abs(a.cpus - b.cpus) > 1e-6) {
       return a.cpus < b.cpus;
     }
-    boolean heldByA = a.holds(job.image());
-    if (heldByA != b.holds(job.image())) {
+    boolean heldByA = a.hasImage(job.image());
+    if (heldByA != b.hasImage(job.image())) {
       return heldByA;
     }
     if (a.kind.spot() != b.kind.spot()) {
       return a.kind.spot();
     }
-    int setA = a.set(job.team());
-    int setB = b.set(job.team());
+    int setA = a.sharingRank(job.team());
+    int setB = b.sharingRank(job.team());
     if (setA != setB) {
       return setA < setB;
     }
-    return a.room.cpus < b.room.cpus - 1e-6;
+    return a.freeAfterStops.cpus < b.freeAfterStops.cpus - 1e-6;
   }
 
   /**
    * Makes room on the host where that wastes the least work, by stops that the protocol allows;
    * null if nowhere.
    */
-  private Host preempt(PendingJob pending, TaskId task, Team team) {
+  private MachineView preempt(PendingJob pending, TaskId task, Team team) {
     JobSpec job = pending.job;
     boolean guaranteed = team.withinGuarantee(job);
     if (failures.noVictims(job, guaranteed)) {
       return null;
     }
-    Host best = null;
-    List<HostedTask> bestVictims = null;
+    MachineView best = null;
+    List<PlacedTask> bestVictims = null;
     double bestLoss = Double.POSITIVE_INFINITY;
     boolean narrowed = false;
-    for (Host host : hosts) {
+    for (MachineView host : hosts) {
       if (!mayHaveVictims(host, job, guaranteed)) {
         continue;
       }
-      if (!pending.zoneAllowed(host.kind.zone()) || host.barred(task)) {
+      if (!pending.zoneAllowed(host.kind.zone()) || host.hasTraceOf(task)) {
         narrowed = true;
         continue;
       }
-      List<HostedTask> victims = victims(host, job, guaranteed);
+      List<PlacedTask> victims = victims(host, job, guaranteed);
       double loss = victims == null ? Double.POSITIVE_INFINITY : loss(victims);
       if (loss < bestLoss) {
         best = host;
@@ -341,41 +347,41 @@
       }
       return null;
     }
-    for (HostedTask victim : bestVictims) {
-      best.leave(victim);
+    for (PlacedTask victim : bestVictims) {
+      best.evict(victim);
       teams.get(victim.job().team()).share(victim.job(), tuning, -1);
       stops.add(
-          new Plan.Stop(
+          new SchedulingPlan.Preemption(
               victim.task(),
               best.id,
               guaranteed ? "the guarantee of " + job.team() : "higher priority of " + job.id()));
     }
-    failures.roomMade();
+    failures.onRoomMade();
     return best;
   }
 
-  private static boolean mayHaveVictims(Host host, JobSpec job, boolean guaranteed) {
-    boolean lower = host.hasBelow(job.priority().ordinal());
-    boolean others = guaranteed && host.hasOthers(job.team());
-    return (lower || others) && host.kind.allows(job) && !host.kept();
+  private static boolean mayHaveVictims(MachineView host, JobSpec job, boolean guaranteed) {
+    boolean lower = host.hasLowerPriority(job.priority().ordinal());
+    boolean others = guaranteed && host.hasOtherTeams(job.team());
+    return (lower || others) && host.kind.allows(job) && !host.isReserved();
   }
 
   /** The work that stopping these tasks would waste. */
-  private double loss(List<HostedTask> victims) {
+  private double loss(List<PlacedTask> victims) {
     return victims.stream().mapToDouble(this::loss).sum();
   }
 
-  private double loss(HostedTask victim) {
-    return victim.lostS(now) * tuning.cost(victim.job());
+  private double loss(PlacedTask victim) {
+    return victim.lostWorkS(now) * tuning.cost(victim.job());
   }
 
   /** The tasks to stop on a host so that the job's task fits there; null when that cannot be. */
-  private List<HostedTask> victims(Host host, JobSpec job, boolean guaranteed) {
-    List<HostedTask> candidates = candidates(host, job, guaranteed);
-    Resources room = host.room.copy();
-    List<HostedTask> victims = new ArrayList<>();
+  private List<PlacedTask> victims(MachineView host, JobSpec job, boolean guaranteed) {
+    List<PlacedTask> candidates = candidates(host, job, guaranteed);
+    Resources room = host.freeAfterStops.copy();
+    List<PlacedTask> victims = new ArrayList<>();
     Map<String, Resources> taken = new HashMap<>();
-    for (HostedTask slot : candidates) {
+    for (PlacedTask slot : candidates) {
       if (room.fits(job)) {
         break;
       }
@@ -383,22 +389,22 @@
           slot.job().priority().ordinal() < job.priority().ordinal()
               && (guaranteed || slot.job().team().equals(job.team()));
       Resources sum = taken.computeIfAbsent(slot.job().team(), t -> new Resources(0, 0, 0));
-      sum.give(slot.job());
+      sum.add(slot.job());
       // Several victims of one team may together reach into its guarantee even if none does alone.
       if (!lower && teams.get(slot.job().team()).guaranteeReachedBy(sum)) {
-        sum.take(slot.job());
+        sum.subtract(slot.job());
         continue;
       }
       victims.add(slot);
-      room.give(slot.job());
+      room.add(slot.job());
     }
     return room.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
   /** Tasks that may be stopped for the job by the rules of preemption, the least loss first. */
-  private List<HostedTask> candidates(Host host, JobSpec job, boolean guaranteed) {
-    List<HostedTask> candidates = new ArrayList<>();
-    for (HostedTask slot : host.slots) {
+  private List<PlacedTask> candidates(MachineView host, JobSpec job, boolean guaranteed) {
+    List<PlacedTask> candidates = new ArrayList<>();
+    for (PlacedTask slot : host.preemptibleTasks) {
       Team owner = teams.get(slot.job().team());
       if (owner == null) {
         continue;
--- a/src/main/java/org/saffronshore/scheduling/Plan.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
@@ -5,11 +5,11 @@
 import org.saffronshore.wire.TaskId;
 
 /** What a cycle decided. */
-public record Plan(
+public record SchedulingPlan(
     List<Placement> placements,
-    List<Stop> stops,
-    List<UnplacedTasks> unmet,
-    List<LimitedTasks> limited) {
+    List<Preemption> preemptions,
+    List<UnplacedTasks> unplaced,
+    List<QuotaLimitedTasks> quotaLimited) {
 
   /**
    * A task that is to be started.
@@ -17,10 +17,10 @@
    * @param overdue whether it was placed before all others since its job had waited for very long
    * @param counted what counted against its team's limit before
    */
-  public record Placement(TaskId task, String host, boolean overdue, TeamUse counted) {}
+  public record Placement(TaskId task, String machine, boolean overdue, QuotaUsage counted) {}
 
   /** A task that is to be stopped, and the reason for the log. */
-  public record Stop(TaskId task, String host, String why) {}
+  public record Preemption(TaskId task, String machine, String reason) {}
 
   /**
    * Tasks of a job that found no place although the team's limit lets them run; in the order of the
@@ -34,5 +34,6 @@
    * @param unaccounted whether only by what may be on machines that are not accounted for
    * @param counted what counted against the limit then
    */
-  public record LimitedTasks(JobSpec job, int tasks, boolean unaccounted, TeamUse counted) {}
+  public record QuotaLimitedTasks(
+      JobSpec job, int tasks, boolean onlyByUnreconciled, QuotaUsage counted) {}
 }
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -6,7 +6,7 @@
 /** A team during one cycle: its rights, and what its tasks use or may be using. */
 public final class Team {
   private static final double EPSILON = 1e-6;
-  final Settings.Team rights;
+  final Settings.TeamQuota quota;
   final double weight;
   double cpus;
   double gpus;
@@ -23,20 +23,20 @@
 
   private final Resources possiblyHeld = new Resources(0, 0, 0);
 
-  public Team(Settings.Team rights, double weight) {
-    this.rights = rights;
+  public Team(Settings.TeamQuota rights, double weight) {
+    this.quota = rights;
     this.weight = weight;
   }
 
   /** Counts a task that is on a machine, or is being put there. */
   public void use(JobSpec job, SchedulingSettings tuning) {
     share(job, tuning, 1);
-    launched.give(job);
+    launched.add(job);
   }
 
   /** Notes that a task which is counted already runs or is saving. */
   public void addRunning(JobSpec job) {
-    running.give(job);
+    running.add(job);
   }
 
   /**
@@ -53,7 +53,7 @@
   public void addPossible(double maybeCpus, double maybeGpus) {
     cpus += maybeCpus;
     gpus += maybeGpus;
-    possible.give(new Resources(maybeCpus, maybeGpus, 0));
+    possible.add(new Resources(maybeCpus, maybeGpus, 0));
   }
 
   /**
@@ -61,30 +61,30 @@
    * any more.
    */
   public void addPossiblyHeld(double moreCpus, double moreGpus) {
-    possiblyHeld.give(new Resources(moreCpus, moreGpus, 0));
+    possiblyHeld.add(new Resources(moreCpus, moreGpus, 0));
   }
 
   /** What counts against the limit now. */
-  public TeamUse use() {
-    return new TeamUse(
-        rights.name(),
-        new TeamUse.Amounts(
-            running.cpus, launched.cpus, possible.cpus, possiblyHeld.cpus, rights.cpusMax()),
-        new TeamUse.Amounts(
-            running.gpus, launched.gpus, possible.gpus, possiblyHeld.gpus, rights.gpusMax()));
+  public QuotaUsage use() {
+    return new QuotaUsage(
+        quota.name(),
+        new QuotaUsage.Amounts(
+            running.cpus, launched.cpus, possible.cpus, possiblyHeld.cpus, quota.maxCpus()),
+        new QuotaUsage.Amounts(
+            running.gpus, launched.gpus, possible.gpus, possiblyHeld.gpus, quota.maxGpus()));
   }
 
   boolean withinLimit(JobSpec job) {
     double cpusAfter = countedCpus() + job.cpus();
     double gpusAfter = launched.gpus + possible.gpus + possiblyHeld.gpus + job.gpus();
-    return (rights.cpusMax() <= 0 || cpusAfter <= rights.cpusMax() + EPSILON)
-        && (rights.gpusMax() <= 0 || gpusAfter <= rights.gpusMax() + EPSILON);
+    return (quota.maxCpus() <= 0 || cpusAfter <= quota.maxCpus() + EPSILON)
+        && (quota.maxGpus() <= 0 || gpusAfter <= quota.maxGpus() + EPSILON);
   }
 
   /** Whether the limit would let the task in if all machines were accounted for. */
   boolean withinLimitOfKnown(JobSpec job) {
-    return (rights.cpusMax() <= 0 || launched.cpus + job.cpus() <= rights.cpusMax() + EPSILON)
-        && (rights.gpusMax() <= 0 || launched.gpus + job.gpus() <= rights.gpusMax() + EPSILON);
+    return (quota.maxCpus() <= 0 || launched.cpus + job.cpus() <= quota.maxCpus() + EPSILON)
+        && (quota.maxGpus() <= 0 || launched.gpus + job.gpus() <= quota.maxGpus() + EPSILON);
   }
 
   private double countedCpus() {
@@ -93,27 +93,27 @@
 
   /** How many more of such tasks the limit lets in. */
   int tasksWithinLimit(JobSpec job, int most) {
-    return rights.cpusMax() <= 0 || job.cpus() <= 0
+    return quota.maxCpus() <= 0 || job.cpus() <= 0
         ? most
-        : (int) Math.min(most, (rights.cpusMax() - countedCpus()) / job.cpus() + EPSILON);
+        : (int) Math.min(most, (quota.maxCpus() - countedCpus()) / job.cpus() + EPSILON);
   }
 
   boolean withinGuarantee(JobSpec job) {
-    return (rights.cpus() > 0 || rights.gpus() > 0)
-        && cpus + job.cpus() <= rights.cpus() + EPSILON
-        && gpus + job.gpus() <= rights.gpus() + EPSILON;
+    return (quota.guaranteedCpus() > 0 || quota.guaranteedGpus() > 0)
+        && cpus + job.cpus() <= quota.guaranteedCpus() + EPSILON
+        && gpus + job.gpus() <= quota.guaranteedGpus() + EPSILON;
   }
 
   /** Whether the team, without this task of its own, would still have all that it is guaranteed. */
   boolean beyondGuarantee(JobSpec job) {
-    return (rights.cpus() <= 0 || cpus - job.cpus() >= rights.cpus() - EPSILON)
-        && (rights.gpus() <= 0 || gpus - job.gpus() >= rights.gpus() - EPSILON);
+    return (quota.guaranteedCpus() <= 0 || cpus - job.cpus() >= quota.guaranteedCpus() - EPSILON)
+        && (quota.guaranteedGpus() <= 0 || gpus - job.gpus() >= quota.guaranteedGpus() - EPSILON);
   }
 
   /** Whether without these tasks of its own the team would have less than it is guaranteed. */
   boolean guaranteeReachedBy(Resources stopped) {
-    return rights.cpus() > 0 && cpus - stopped.cpus < rights.cpus() - EPSILON
-        || rights.gpus() > 0 && gpus - stopped.gpus < rights.gpus() - EPSILON;
+    return quota.guaranteedCpus() > 0 && cpus - stopped.cpus < quota.guaranteedCpus() - EPSILON
+        || quota.guaranteedGpus() > 0 && gpus - stopped.gpus < quota.guaranteedGpus() - EPSILON;
   }
 
   /** The fraction of its fair share that the team would have with one more task of this cost. */
--- a/src/main/java/org/saffronshore/state/CancellationLog.java
+++ b/src/main/java/org/saffronshore/state/CancellationLog.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.List;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * The cancellations that this process committed or read, the latest last, for as long as a
@@ -14,14 +14,14 @@
 
   private record Entry(String job, double learnedAt) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final double keptForS;
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
 
   /** No cancellation learned since then has been dropped. */
   private double completeSince;
 
-  CancellationLog(Loop loop, double keptForS) {
+  CancellationLog(EventLoop loop, double keptForS) {
     this.loop = loop;
     this.keptForS = keptForS;
     this.completeSince = loop.now();
@@ -37,7 +37,7 @@
   }
 
   /** For how many seconds {@link #recent} is complete. */
-  double coversS() {
+  double completeForS() {
     dropOld();
     return loop.now() - completeSince;
   }
--- a/src/main/java/org/saffronshore/state/KeyState.java
+++ b/src/main/java/org/saffronshore/state/GetResult.java
@@ -1,7 +1,7 @@
 package org.saffronshore.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.saffronshore.http.Answer;
+import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
@@ -9,9 +9,9 @@
  *
  * @param value null unless the key was found
  * @param version the revision of the key's last change; 0 unless it was found
- * @param lease the lease that the key is attached to; 0 for none
+ * @param leaseId the lease that the key is attached to; 0 for none
  */
-public record KeyState(Presence presence, JsonNode value, long version, long lease) {
+public record GetResult(Presence presence, JsonNode value, long version, long leaseId) {
 
   /** Whether the key exists; UNKNOWN when the state service did not tell. */
   public enum Presence {
@@ -20,27 +20,27 @@
     UNKNOWN
   }
 
-  static KeyState of(Answer answer) {
+  static GetResult of(Response answer) {
     JsonNode body = answer.ok() ? answer.json() : null;
     if (body != null && body.has("Data")) {
-      return new KeyState(
+      return new GetResult(
           Presence.FOUND,
           body.get("Data"),
-          Json.count(body, "Stamp", 0),
-          Json.count(body, "Permit", 0));
+          Json.integer(body, "Stamp", 0),
+          Json.integer(body, "Permit", 0));
     }
-    return new KeyState(answer.status() == 404 ? Presence.MISSING : Presence.UNKNOWN, null, 0, 0);
+    return new GetResult(answer.status() == 404 ? Presence.MISSING : Presence.UNKNOWN, null, 0, 0);
   }
 
-  public boolean found() {
+  public boolean isFound() {
     return presence == Presence.FOUND;
   }
 
-  public boolean missing() {
+  public boolean isMissing() {
     return presence == Presence.MISSING;
   }
 
-  public boolean unknown() {
+  public boolean isUnknown() {
     return presence == Presence.UNKNOWN;
   }
 }
--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.state.JobStore.Status;
+import org.saffronshore.state.JobStore.JobStatus;
 
 /**
  * What one controller remembers of jobs. Only facts that never change are kept: how a job ended,
@@ -31,8 +31,8 @@
    */
   record Closure(Set<String> open, List<String> unread, boolean cancelled) {}
 
-  private final Map<String, JobRecord> termStore = new BoundedMap<>();
-  private final Map<String, Status> ends = new BoundedMap<>();
+  private final Map<String, JobRecord> jobRecords = new BoundedMap<>();
+  private final Map<String, JobStatus> outcomes = new BoundedMap<>();
 
   private static final class BoundedMap<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
@@ -44,31 +44,31 @@
   }
 
   /** How a job ended, or null when that is not known. */
-  Status end(String id) {
-    return ends.get(id);
+  JobStatus outcome(String id) {
+    return outcomes.get(id);
   }
 
   /** Remembers how a job ended; false when it was known already. */
-  boolean putEnd(String id, Status end) {
-    return ends.put(id, end) == null;
+  boolean putOutcome(String id, JobStatus end) {
+    return outcomes.put(id, end) == null;
   }
 
   /** The record of a job that was open when it was last read, or null. */
   JobRecord record(String id) {
-    return termStore.get(id);
+    return jobRecords.get(id);
   }
 
   void putRecord(String id, JobRecord jobRecord) {
-    termStore.put(id, jobRecord);
+    jobRecords.put(id, jobRecord);
   }
 
   void dropRecord(String id) {
-    termStore.remove(id);
+    jobRecords.remove(id);
   }
 
   /** Whether the job is known to have been accepted. */
   boolean isAccepted(String id) {
-    return ends.containsKey(id) || termStore.containsKey(id);
+    return outcomes.containsKey(id) || jobRecords.containsKey(id);
   }
 
   /** Follows the dependencies of some jobs as far as they are known. */
@@ -79,10 +79,10 @@
     ArrayDeque<String> todo = new ArrayDeque<>(jobs);
     while (!todo.isEmpty()) {
       String job = todo.poll();
-      Status end = ends.get(job);
-      JobRecord known = termStore.get(job);
+      JobStatus end = outcomes.get(job);
+      JobRecord known = jobRecords.get(job);
       if (end != null) {
-        cancelled |= end == Status.CANCELLED;
+        cancelled |= end == JobStatus.CANCELLED;
       } else if (known == null) {
         unread.add(job);
       } else if (open.add(job)) {
--- a/src/main/java/org/saffronshore/state/JobReader.java
+++ b/src/main/java/org/saffronshore/state/JobReader.java
@@ -11,8 +11,8 @@
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import org.saffronshore.state.JobStore.End;
-import org.saffronshore.state.JobStore.Status;
+import org.saffronshore.state.JobStore.JobOutcome;
+import org.saffronshore.state.JobStore.JobStatus;
 import org.saffronshore.wire.JobSpec;
 
 /**
@@ -31,34 +31,34 @@
 
   private final StateClient state;
   private final JobCache cache;
-  private final BiConsumer<String, Status> onEnd;
+  private final BiConsumer<String, JobStatus> onOutcome;
 
   /**
-   * @param onEnd is told of every end that is read
+   * @param onOutcome is told of every end that is read
    */
-  JobReader(StateClient state, JobCache cache, BiConsumer<String, Status> onEnd) {
+  JobReader(StateClient state, JobCache cache, BiConsumer<String, JobStatus> onEnd) {
     this.state = state;
     this.cache = cache;
-    this.onEnd = onEnd;
+    this.onOutcome = onEnd;
   }
 
   /**
    * Reads one job: OPEN, or how it ended, or ABSENT, or UNKNOWN when the state service did not
    * tell.
    */
-  void read(String id, Consumer<Status> then) {
+  void read(String id, Consumer<JobStatus> then) {
     state.get(
-        Keys.job(id),
+        Keys.openJob(id),
         false,
         answer -> {
-          if (answer.found()) {
+          if (answer.isFound()) {
             keep(id, answer.value(), answer.version());
-            then.accept(Status.OPEN);
-          } else if (answer.missing()) {
+            then.accept(JobStatus.OPEN);
+          } else if (answer.isMissing()) {
             cache.dropRecord(id);
-            readEnd(id, end -> then.accept(end.status()));
+            readOutcome(id, end -> then.accept(end.status()));
           } else {
-            then.accept(Status.UNKNOWN);
+            then.accept(JobStatus.UNKNOWN);
           }
         });
   }
@@ -67,7 +67,7 @@
     List<String> dependencies = new ArrayList<>();
     stored
         .path("Spec")
-        .path(JobSpec.DEPENDENCIES)
+        .path(JobSpec.DEPENDENCIES_FIELD)
         .forEach(needed -> dependencies.add(needed.asText()));
     cache.putRecord(id, new JobCache.JobRecord(version, List.copyOf(dependencies)));
   }
@@ -76,33 +76,35 @@
    * Reads what is not known of some jobs. Tells the worst of it: ABSENT, then UNKNOWN; OPEN when
    * all were accepted.
    */
-  void readAll(Collection<String> ids, Consumer<Status> then) {
+  void readAll(Collection<String> ids, Consumer<JobStatus> then) {
     List<String> unread = ids.stream().filter(id -> !cache.isAccepted(id)).toList();
     if (unread.isEmpty()) {
-      then.accept(Status.OPEN);
+      then.accept(JobStatus.OPEN);
     } else if (unread.size() <= FEW) {
-      Gathered<Status> read =
+      Gathered<JobStatus> read =
           new Gathered<>(unread.size(), all -> then.accept(worst(all.values())));
       unread.forEach(id -> read(id, status -> read.add(id, status)));
     } else {
       listOpen(
           open -> {
             if (open == null) {
-              then.accept(Status.UNKNOWN);
+              then.accept(JobStatus.UNKNOWN);
               return;
             }
             List<String> over = unread.stream().filter(id -> !open.contains(id)).toList();
-            readEnds(
-                over, ends -> then.accept(worst(ends.values().stream().map(End::status).toList())));
+            readOutcomes(
+                over,
+                ends ->
+                    then.accept(worst(ends.values().stream().map(JobOutcome::status).toList())));
           });
     }
   }
 
-  private static Status worst(Collection<Status> statuses) {
-    if (statuses.contains(Status.ABSENT)) {
-      return Status.ABSENT;
+  private static JobStatus worst(Collection<JobStatus> statuses) {
+    if (statuses.contains(JobStatus.NOT_FOUND)) {
+      return JobStatus.NOT_FOUND;
     }
-    return statuses.contains(Status.UNKNOWN) ? Status.UNKNOWN : Status.OPEN;
+    return statuses.contains(JobStatus.UNKNOWN) ? JobStatus.UNKNOWN : JobStatus.OPEN;
   }
 
   /**
@@ -111,7 +113,7 @@
    */
   void listOpen(Consumer<Set<String>> then) {
     state.list(
-        Keys.JOBS,
+        Keys.OPEN_JOBS,
         false,
         listing -> {
           if (listing == null) {
@@ -129,36 +131,37 @@
   }
 
   /** Reads how a job ended: ABSENT when it has no end, UNKNOWN when that could not be read. */
-  void readEnd(String id, Consumer<End> then) {
+  void readOutcome(String id, Consumer<JobOutcome> then) {
     state.get(
-        Keys.end(id),
+        Keys.jobOutcome(id),
         false,
         answer -> {
-          if (answer.found()) {
+          if (answer.isFound()) {
             then.accept(ended(id, answer.value()));
           } else {
-            then.accept(new End(answer.missing() ? Status.ABSENT : Status.UNKNOWN, 0));
+            then.accept(
+                new JobOutcome(answer.isMissing() ? JobStatus.NOT_FOUND : JobStatus.UNKNOWN, 0));
           }
         });
   }
 
-  private End ended(String id, JsonNode stored) {
-    End end = End.parse(stored);
-    if (end.status() != Status.UNKNOWN) {
-      onEnd.accept(id, end.status());
+  private JobOutcome ended(String id, JsonNode stored) {
+    JobOutcome end = JobOutcome.parse(stored);
+    if (end.status() != JobStatus.UNKNOWN) {
+      onOutcome.accept(id, end.status());
     }
     return end;
   }
 
   /** Reads how some jobs ended; each of them is told of. */
-  void readEnds(Collection<String> ids, Consumer<Map<String, End>> then) {
+  void readOutcomes(Collection<String> ids, Consumer<Map<String, JobOutcome>> then) {
     if (ids.isEmpty()) {
       then.accept(Map.of());
     } else if (ids.size() <= FEW) {
-      Gathered<End> read = new Gathered<>(ids.size(), then);
-      ids.forEach(id -> readEnd(id, end -> read.add(id, end)));
+      Gathered<JobOutcome> read = new Gathered<>(ids.size(), then);
+      ids.forEach(id -> readOutcome(id, end -> read.add(id, end)));
     } else {
-      listEnds(new TreeSet<>(ids), new HashMap<>(), then);
+      listOutcomes(new TreeSet<>(ids), new HashMap<>(), then);
     }
   }
 
@@ -166,21 +169,21 @@
    * Lists the ends from the first job that is left on; one page tells of all jobs up to its last
    * key.
    */
-  private void listEnds(
-      TreeSet<String> left, Map<String, End> read, Consumer<Map<String, End>> then) {
+  private void listOutcomes(
+      TreeSet<String> left, Map<String, JobOutcome> read, Consumer<Map<String, JobOutcome>> then) {
     if (left.isEmpty()) {
       then.accept(read);
       return;
     }
     String first = left.first();
     // A prefix of a key comes before it, and a listing begins after the key that it is given.
-    String before = Keys.end(first.substring(0, first.length() - 1));
+    String before = Keys.jobOutcome(first.substring(0, first.length() - 1));
     state.listPage(
-        Keys.FINALS,
+        Keys.JOB_OUTCOMES,
         before,
         page -> {
           if (page == null) {
-            left.forEach(id -> read.put(id, new End(Status.UNKNOWN, 0)));
+            left.forEach(id -> read.put(id, new JobOutcome(JobStatus.UNKNOWN, 0)));
             then.accept(read);
             return;
           }
@@ -193,9 +196,9 @@
           String last =
               page.last() ? null : Keys.idOf(page.entries().get(page.entries().size() - 1).key());
           while (!left.isEmpty() && (last == null || left.first().compareTo(last) < 0)) {
-            read.put(left.pollFirst(), new End(Status.ABSENT, 0));
+            read.put(left.pollFirst(), new JobOutcome(JobStatus.NOT_FOUND, 0));
           }
-          listEnds(left, read, then);
+          listOutcomes(left, read, then);
         });
   }
 
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 
@@ -20,9 +20,9 @@
    * What is known of a job: UNKNOWN means that the store could not tell, ABSENT that it was never
    * accepted.
    */
-  public enum Status {
+  public enum JobStatus {
     UNKNOWN,
-    ABSENT,
+    NOT_FOUND,
     OPEN,
     DONE,
     CANCELLED
@@ -33,13 +33,13 @@
    * needs may be cancelled, so its status has to be looked up. KNOWN: accepted before. MISSING: it
    * needs a job that never was.
    */
-  public enum Accepted {
-    NEW,
-    NEW_UNPROVEN,
-    KNOWN,
+  public enum SubmissionResult {
+    ACCEPTED,
+    ACCEPTED_UNVERIFIED,
+    DUPLICATE,
     UNKNOWN,
     OVERLOADED,
-    MISSING
+    UNKNOWN_DEPENDENCY
   }
 
   private static final int TRIES = 4;
@@ -48,60 +48,63 @@
   private static final int MAX_COMPARES = 4;
 
   /** How a job ended, and when, at a time of day; 0 when that was not written down. */
-  public record End(Status status, long atMs) {
+  public record JobOutcome(JobStatus status, long atMs) {
     /** Reads a stored end; UNKNOWN when it is none. */
-    static End parse(JsonNode stored) {
+    static JobOutcome parse(JsonNode stored) {
       String text = Json.text(stored, "State");
-      Status status =
+      JobStatus status =
           "done".equals(text)
-              ? Status.DONE
-              : "aborted".equals(text) ? Status.CANCELLED : Status.UNKNOWN;
-      return new End(status, Json.count(stored, "At", 0));
+              ? JobStatus.DONE
+              : "aborted".equals(text) ? JobStatus.CANCELLED : JobStatus.UNKNOWN;
+      return new JobOutcome(status, Json.integer(stored, "At", 0));
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
   private final int maxGuards;
   private final JobCache cache = new JobCache();
   private final CancellationLog cancellations;
   private final JobReader reader;
-  private final OpenCheck openCheck;
+  private final OpenJobChecker openCheck;
   private final SubmissionQueue submissions;
   private Consumer<String> onCancelled = id -> {};
 
   /** Uses the state service within this node's share of its rates. */
-  public JobStore(Loop loop, StateClient state, Settings settings) {
+  public JobStore(EventLoop loop, StateClient state, Settings settings) {
     this.loop = loop;
     this.state = state;
-    this.maxGuards = Txn.maxGuards(settings);
-    this.cancellations = new CancellationLog(loop, settings.cancelS());
-    this.reader = new JobReader(state, cache, this::remember);
-    this.openCheck = new OpenCheck(loop, state, cache, settings);
+    this.maxGuards = Transaction.maxConditions(settings);
+    this.cancellations = new CancellationLog(loop, settings.cancellationDeadlineS());
+    this.reader = new JobReader(state, cache, this::recordOutcome);
+    this.openCheck = new OpenJobChecker(loop, state, cache, settings);
     this.submissions = new SubmissionQueue(loop, state, cache, reader, settings);
   }
 
   /**
    * @param atMs the time of day: the times of jobs that need this one count from then
    */
-  public static JsonNode endRecord(Status status, long atMs) {
-    return Json.object().put("State", status == Status.DONE ? "done" : "aborted").put("At", atMs);
+  public static JsonNode outcomeRecord(JobStatus status, long atMs) {
+    return Json.object()
+        .put("State", status == JobStatus.DONE ? "done" : "aborted")
+        .put("At", atMs);
   }
 
   /**
    * Adds the one way in which a job ends: its key goes, and its end comes, if it is open in that
    * version.
    */
-  public static Txn end(Txn txn, String id, long version, Status status, long atMs) {
-    return txn.guard(Keys.job(id), version)
-        .guard(Keys.end(id), 0)
-        .set(Keys.end(id), endRecord(status, atMs))
-        .remove(Keys.job(id));
+  public static Transaction addOutcome(
+      Transaction txn, String id, long version, JobStatus status, long atMs) {
+    return txn.expectVersion(Keys.openJob(id), version)
+        .expectVersion(Keys.jobOutcome(id), 0)
+        .put(Keys.jobOutcome(id), outcomeRecord(status, atMs))
+        .delete(Keys.openJob(id));
   }
 
   /** Accepts a job, once, if all jobs that it needs were accepted. */
-  public void accept(JobSpec job, long submittedMs, Consumer<Accepted> then) {
-    submissions.accept(job, submittedMs, then);
+  public void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> then) {
+    submissions.submit(job, submittedMs, then);
   }
 
   /**
@@ -110,24 +113,24 @@
    * written. So of an open job that needs others all of these must be open or done, at one moment:
    * a transaction that only compares tells, in one request.
    */
-  public void look(String id, Consumer<Status> then) {
-    look(id, TRIES, then);
+  public void lookUp(String id, Consumer<JobStatus> then) {
+    lookUp(id, TRIES, then);
   }
 
-  private void look(String id, int tries, Consumer<Status> then) {
-    Status known = cache.end(id);
+  private void lookUp(String id, int tries, Consumer<JobStatus> then) {
+    JobStatus known = cache.outcome(id);
     if (known != null) {
       then.accept(known);
     } else if (tries == 0) {
-      then.accept(Status.UNKNOWN);
+      then.accept(JobStatus.UNKNOWN);
     } else if (cache.record(id) != null) {
-      lookWithDependencies(id, tries, then);
+      lookUpWithDependencies(id, tries, then);
     } else {
       reader.read(
           id,
           status -> {
-            if (status == Status.OPEN && !cache.record(id).dependencies().isEmpty()) {
-              lookWithDependencies(id, tries, then);
+            if (status == JobStatus.OPEN && !cache.record(id).dependencies().isEmpty()) {
+              lookUpWithDependencies(id, tries, then);
             } else {
               then.accept(status);
             }
@@ -135,28 +138,28 @@
     }
   }
 
-  private void lookWithDependencies(String id, int tries, Consumer<Status> then) {
+  private void lookUpWithDependencies(String id, int tries, Consumer<JobStatus> then) {
     JobCache.Closure closure = cache.closure(List.of(id));
     if (closure.cancelled()) {
       // Its own end is still to be written, by the leader, which learns of the other one.
-      cache.putEnd(id, Status.CANCELLED);
-      then.accept(Status.CANCELLED);
+      cache.putOutcome(id, JobStatus.CANCELLED);
+      then.accept(JobStatus.CANCELLED);
     } else if (!closure.unread().isEmpty()) {
       reader.readAll(
           closure.unread(),
           worst -> {
-            if (worst == Status.OPEN) {
+            if (worst == JobStatus.OPEN) {
               // One level further each time: as many as the chain is deep.
-              lookWithDependencies(id, tries, then);
+              lookUpWithDependencies(id, tries, then);
             } else {
-              then.accept(Status.UNKNOWN);
+              then.accept(JobStatus.UNKNOWN);
             }
           });
     } else if (closure.open().size() > MAX_COMPARES * maxGuards) {
       reader.listOpen(
           listed -> {
             if (listed == null) {
-              then.accept(Status.UNKNOWN);
+              then.accept(JobStatus.UNKNOWN);
             } else {
               notOpen(
                   closure.open().stream().filter(job -> !listed.contains(job)).toList(),
@@ -166,11 +169,11 @@
             }
           });
     } else {
-      openCheck.ask(
+      openCheck.findEnded(
           closure.open(),
           ended -> {
             if (ended == null) {
-              then.accept(Status.UNKNOWN);
+              then.accept(JobStatus.UNKNOWN);
             } else {
               notOpen(ended, id, tries, then);
             }
@@ -179,25 +182,25 @@
   }
 
   /** Some of the jobs are not open any more: how they ended decides. */
-  private void notOpen(Collection<String> over, String id, int tries, Consumer<Status> then) {
+  private void notOpen(Collection<String> over, String id, int tries, Consumer<JobStatus> then) {
     if (over.isEmpty()) {
-      then.accept(Status.OPEN);
+      then.accept(JobStatus.OPEN);
       return;
     }
     over.forEach(cache::dropRecord);
-    reader.readEnds(over, ends -> look(id, tries - 1, then));
+    reader.readOutcomes(over, ends -> lookUp(id, tries - 1, then));
   }
 
   /**
    * Reads how some jobs ended: ABSENT for one that has no end, UNKNOWN when that could not be read.
    */
-  public void readEnds(Collection<String> ids, Consumer<Map<String, End>> then) {
-    reader.readEnds(ids, then);
+  public void readOutcomes(Collection<String> ids, Consumer<Map<String, JobOutcome>> then) {
+    reader.readOutcomes(ids, then);
   }
 
   /** Remembers an end that was committed or read. */
-  public void remember(String id, Status end) {
-    if (cache.putEnd(id, end) && end == Status.CANCELLED) {
+  public void recordOutcome(String id, JobStatus end) {
+    if (cache.putOutcome(id, end) && end == JobStatus.CANCELLED) {
       cancellations.add(id);
       onCancelled.accept(id);
     }
@@ -217,48 +220,49 @@
   }
 
   /** For how long {@link #recentlyCancelled} lacks nothing. */
-  public double cancellationsCoverS() {
-    return cancellations.coversS();
+  public double cancellationsCompleteForS() {
+    return cancellations.completeForS();
   }
 
   /** Cancels a job that is open. The answer is how the job stands after that. */
-  public void cancel(String id, Consumer<Status> then) {
+  public void cancel(String id, Consumer<JobStatus> then) {
     cancel(id, 3, then);
   }
 
-  private void cancel(String id, int tries, Consumer<Status> then) {
-    Status known = cache.end(id);
+  private void cancel(String id, int tries, Consumer<JobStatus> then) {
+    JobStatus known = cache.outcome(id);
     if (known != null) {
       then.accept(known);
       return;
     }
     state.get(
-        Keys.job(id),
+        Keys.openJob(id),
         false,
         open -> {
-          if (open.missing()) {
-            reader.readEnd(id, end -> then.accept(end.status()));
-          } else if (open.unknown()) {
-            then.accept(Status.UNKNOWN);
+          if (open.isMissing()) {
+            reader.readOutcome(id, end -> then.accept(end.status()));
+          } else if (open.isUnknown()) {
+            then.accept(JobStatus.UNKNOWN);
           } else {
             cancel(id, open.version(), tries, then);
           }
         });
   }
 
-  private void cancel(String id, long version, int tries, Consumer<Status> then) {
-    Txn txn = end(new Txn(), id, version, Status.CANCELLED, loop.wallMs());
+  private void cancel(String id, long version, int tries, Consumer<JobStatus> then) {
+    Transaction txn =
+        addOutcome(new Transaction(), id, version, JobStatus.CANCELLED, loop.wallClockMs());
     state.commit(
         txn,
         false,
         result -> {
-          if (result.committed()) {
-            remember(id, Status.CANCELLED);
-            then.accept(Status.CANCELLED);
-          } else if (result.refused() && tries > 1) {
+          if (result.isCommitted()) {
+            recordOutcome(id, JobStatus.CANCELLED);
+            then.accept(JobStatus.CANCELLED);
+          } else if (result.isConflict() && tries > 1) {
             cancel(id, tries - 1, then);
           } else {
-            then.accept(Status.UNKNOWN);
+            then.accept(JobStatus.UNKNOWN);
           }
         });
   }
--- a/src/main/java/org/saffronshore/state/Keys.java
+++ b/src/main/java/org/saffronshore/state/Keys.java
@@ -3,31 +3,31 @@
 /** Where things are kept in the state service. */
 public final class Keys {
   /** Jobs that are accepted and not over. */
-  public static final String JOBS = "j/";
+  public static final String OPEN_JOBS = "j/";
 
   /** How jobs ended; these are never changed or removed. */
-  public static final String FINALS = "f/";
+  public static final String JOB_OUTCOMES = "f/";
 
   /** Pages of finished tasks of jobs that are not over. */
-  public static final String PROGRESS = "p/";
+  public static final String FINISHED_TASKS = "p/";
 
   /**
    * The same of jobs so large that their pieces do not fit into short values; earlier versions do
    * not read these.
    */
-  public static final String SHORT_PROGRESS = "q/";
+  public static final String FINISHED_TASKS_SHORT_CHUNKS = "q/";
 
   /** Pages of how far the tasks of each open job may have been launched. */
-  public static final String LAUNCH_MARKS = "b/";
+  public static final String LAUNCH_WATERMARKS = "b/";
 
   /** Pages of machines that may hold tasks. */
-  public static final String REGISTRY = "r/";
+  public static final String MACHINE_REGISTRY = "r/";
 
   public static final String LEADER = "l/leader";
   public static final String TERM = "t/term";
 
   /** Who asks for time to lead, and who gave it, when controllers do not reach one another. */
-  public static final String CALL = "e/call";
+  public static final String VOTE_REQUEST = "e/call";
 
   public static final String VOTES = "e/v/";
 
@@ -35,18 +35,18 @@
    * The cloud's machine types as they were last seen, for a node that starts while the cloud is
    * away.
    */
-  public static final String TYPES = "m/types";
+  public static final String MACHINE_TYPES = "m/types";
 
-  public static final String OPERATOR = "o/settings";
+  public static final String OPERATOR_SETTINGS = "o/settings";
 
   private Keys() {}
 
-  public static String job(String id) {
-    return JOBS + id;
+  public static String openJob(String id) {
+    return OPEN_JOBS + id;
   }
 
-  public static String end(String id) {
-    return FINALS + id;
+  public static String jobOutcome(String id) {
+    return JOB_OUTCOMES + id;
   }
 
   public static String vote(String node) {
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -15,7 +15,7 @@
   /** Reads a stored value; what is missing is null, and the term -1. */
   public static LeaderRecord parse(JsonNode stored) {
     return new LeaderRecord(
-        Json.text(stored, "Node"), Json.text(stored, "Life"), Json.count(stored, "Term", -1));
+        Json.text(stored, "Node"), Json.text(stored, "Life"), Json.integer(stored, "Term", -1));
   }
 
   /** The stored form. */
--- a/src/main/java/org/saffronshore/state/OpenCheck.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * Asks the state service whether jobs are still open: with transactions that only compare, each for
@@ -16,7 +16,7 @@
  * while; those that come in quick succession share the next request, or a burst of polls would
  * spend this controller's share of the request rate.
  */
-final class OpenCheck {
+final class OpenJobChecker {
   /** Requests of this kind may take this part of the controller's share of the request rate. */
   private static final double RATE_PART = 0.5;
 
@@ -50,7 +50,7 @@
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
   private final JobCache cache;
   private final int maxGuards;
@@ -58,18 +58,18 @@
   private boolean busy;
   private double nextAt = Double.NEGATIVE_INFINITY;
 
-  OpenCheck(Loop loop, StateClient state, JobCache cache, Settings settings) {
+  OpenJobChecker(EventLoop loop, StateClient state, JobCache cache, Settings settings) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.maxGuards = Txn.maxGuards(settings);
+    this.maxGuards = Transaction.maxConditions(settings);
   }
 
   /**
    * Tells which of the jobs are not open any more: none when all are; null when the state service
    * did not tell.
    */
-  void ask(Set<String> jobs, Consumer<Set<String>> then) {
+  void findEnded(Set<String> jobs, Consumer<Set<String>> then) {
     Question question = new Question(jobs.size(), then);
     jobs.forEach(job -> waiting.computeIfAbsent(job, j -> new ArrayList<>(1)).add(question));
     sendNext();
@@ -82,7 +82,7 @@
     busy = true;
     double pauseS = nextAt - loop.now();
     if (pauseS > 0) {
-      loop.after(pauseS, this::send);
+      loop.schedule(pauseS, this::send);
     } else {
       send();
     }
@@ -90,13 +90,13 @@
 
   private void send() {
     Map<String, List<Question>> asked = new LinkedHashMap<>();
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     var next = waiting.entrySet().iterator();
     while (next.hasNext() && asked.size() < maxGuards) {
       Map.Entry<String, List<Question>> entry = next.next();
       JobCache.JobRecord known = cache.record(entry.getKey());
       // A job whose record was dropped meanwhile counts as not open: its end is looked for then.
-      txn.guard(Keys.job(entry.getKey()), known == null ? -1 : known.version());
+      txn.expectVersion(Keys.openJob(entry.getKey()), known == null ? -1 : known.version());
       asked.put(entry.getKey(), entry.getValue());
       next.remove();
     }
@@ -112,10 +112,10 @@
   }
 
   private void answered(Map<String, List<Question>> asked, CommitResult result) {
-    Set<String> failed = result.failedJobs();
+    Set<String> failed = result.conflictingJobs();
     asked.forEach(
         (job, questions) -> {
-          if (result.committed()) {
+          if (result.isCommitted()) {
             questions.forEach(question -> question.answer(job, true));
           } else if (failed.isEmpty()) {
             questions.forEach(Question::fail);
--- a/src/main/java/org/saffronshore/state/RateLimiter.java
+++ b/src/main/java/org/saffronshore/state/RateLimiter.java
@@ -1,6 +1,6 @@
 package org.saffronshore.state;
 
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * This node's share of a rate that the service's nodes have in common. A part of the burst is kept
@@ -10,7 +10,7 @@
   /** Users' requests leave this share of the burst alone. */
   private static final double RESERVED = 0.2;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final double burstS;
   private double perSecond;
   private double level;
@@ -19,7 +19,7 @@
   /**
    * @param burstS how many seconds' worth may be spent at once after a quiet time
    */
-  public RateLimiter(Loop loop, double perSecond, double burstS) {
+  public RateLimiter(EventLoop loop, double perSecond, double burstS) {
     this.loop = loop;
     this.burstS = burstS;
     this.perSecond = perSecond;
@@ -38,13 +38,13 @@
   }
 
   /** Changes the share of this node; what it has saved up stays. */
-  public void share(double newPerSecond) {
+  public void setRate(double newPerSecond) {
     fill();
     perSecond = newPerSecond;
   }
 
   /** The share of this node. */
-  public double perSecond() {
+  public double ratePerSecond() {
     return perSecond;
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Spends some of the share; false when that is not there. Vital requests may use the reserve. */
-  public boolean take(double amount, boolean vital) {
+  public boolean tryAcquire(double amount, boolean vital) {
     fill();
     double floor = vital ? 0 : Math.min(burst() * RESERVED, burst() - amount);
     if (level - amount < floor) {
--- a/src/main/java/org/saffronshore/state/StateClient.java
+++ b/src/main/java/org/saffronshore/state/StateClient.java
@@ -8,9 +8,9 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Answer;
 import org.saffronshore.http.Client;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
@@ -19,13 +19,13 @@
  */
 public final class StateClient {
   /** What is answered here, without asking, when the node's budget is spent. */
-  private static final Answer OVER_BUDGET = new Answer(429, new byte[0]);
+  private static final Response OVER_BUDGET = new Response(429, new byte[0]);
 
   /**
    * What users' requests are answered here while the service says nothing at all: they need not
    * wait for that.
    */
-  private static final Answer SILENT = new Answer(503, new byte[0]);
+  private static final Response SILENT = new Response(503, new byte[0]);
 
   /**
    * Users wait two seconds for the answer to a question; this leaves a node time to say that it has
@@ -37,7 +37,7 @@
   private static final int SILENT_AFTER = 3;
 
   /** After a refusal for the rate the later limits are kept to for so many leases. */
-  private static final double LOWER_LEASES = 4;
+  private static final double NEXT_LIMITS_LEASES = 4;
 
   /**
    * The leader's part of all requests and of all writes; the rest is shared out evenly, to it as
@@ -51,12 +51,12 @@
   public record Entry(String key, JsonNode value, long version) {}
 
   /** What became of a renewal; UNKNOWN when the state service did not tell. */
-  public enum Renewal {
+  public enum LeaseRenewal {
     RENEWED,
     EXPIRED,
     UNKNOWN;
 
-    private static Renewal of(Answer answer) {
+    private static LeaseRenewal of(Response answer) {
       return answer.ok() ? RENEWED : answer.status() == 404 ? EXPIRED : UNKNOWN;
     }
   }
@@ -70,19 +70,19 @@
    */
   public record Page(List<Entry> entries, long revision, boolean last) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Client client;
   private final Settings settings;
   private final RateLimiter requests;
   private final RateLimiter writes;
 
   /** When the service last answered a request of this node with anything but a refusal. */
-  private double answeredAt = Double.NEGATIVE_INFINITY;
+  private double lastResponseAt = Double.NEGATIVE_INFINITY;
 
   private boolean leading;
 
   /** Until then the later limits are taken to hold. */
-  private double lowerUntil = Double.NEGATIVE_INFINITY;
+  private double nextLimitsUntil = Double.NEGATIVE_INFINITY;
 
   /** Requests in a row that got no answer at all, and when the last of them was made. */
   private int lost;
@@ -90,64 +90,66 @@
   private double triedAt;
 
   /** Uses the service within this node's share of its rates. */
-  public StateClient(Loop loop, Client client, Settings settings) {
+  public StateClient(EventLoop loop, Client client, Settings settings) {
     this.loop = loop;
     this.client = client;
     this.settings = settings;
-    this.requests = new RateLimiter(loop, share(settings.stateRps(), LEADER_REQUESTS), 1);
-    this.writes = new RateLimiter(loop, share(settings.stateWriteRps(), LEADER_WRITES), 1.5);
+    this.requests = new RateLimiter(loop, share(settings.stateRequestsPerS(), LEADER_REQUESTS), 1);
+    this.writes = new RateLimiter(loop, share(settings.stateWritesPerS(), LEADER_WRITES), 1.5);
   }
 
   private double share(double all, double leaders) {
-    return all * ((1 - leaders) / settings.controllers() + (leading ? leaders : 0));
+    return all * ((1 - leaders) / settings.controllerCount() + (leading ? leaders : 0));
   }
 
   /** The leader writes for the whole cluster, so a part of what the service takes is its own. */
-  public void leading(boolean now) {
+  public void setLeading(boolean now) {
     leading = now;
-    shareOut();
+    updateRates();
   }
 
   /**
    * Each node finds by itself that the service takes less than it did; what it takes is shared as
    * before.
    */
-  private void shareOut() {
-    boolean lower = loop.now() < lowerUntil;
-    requests.share(
+  private void updateRates() {
+    boolean lower = loop.now() < nextLimitsUntil;
+    requests.setRate(
         share(
-            lower ? Math.min(settings.stateRps(), settings.nextStateRps()) : settings.stateRps(),
+            lower
+                ? Math.min(settings.stateRequestsPerS(), settings.nextStateRequestsPerS())
+                : settings.stateRequestsPerS(),
             LEADER_REQUESTS));
-    writes.share(
+    writes.setRate(
         share(
             lower
-                ? Math.min(settings.stateWriteRps(), settings.nextStateWriteRps())
-                : settings.stateWriteRps(),
+                ? Math.min(settings.stateWritesPerS(), settings.nextStateWritesPerS())
+                : settings.stateWritesPerS(),
             LEADER_WRITES));
   }
 
   /** The service itself refused for its rate: its later limits may have come. */
-  private void refusedForItsRate() {
-    if (settings.nextStateRps() < settings.stateRps()
-        || settings.nextStateWriteRps() < settings.stateWriteRps()) {
-      lowerUntil = loop.now() + LOWER_LEASES * settings.leaseS();
-      shareOut();
-      loop.after(LOWER_LEASES * settings.leaseS(), this::shareOut);
+  private void onRateLimited() {
+    if (settings.nextStateRequestsPerS() < settings.stateRequestsPerS()
+        || settings.nextStateWritesPerS() < settings.stateWritesPerS()) {
+      nextLimitsUntil = loop.now() + NEXT_LIMITS_LEASES * settings.workerLeaseS();
+      updateRates();
+      loop.schedule(NEXT_LIMITS_LEASES * settings.workerLeaseS(), this::updateRates);
     }
   }
 
   /** How many requests in a second this node may make. */
   public double requestShare() {
-    return requests.perSecond();
+    return requests.ratePerSecond();
   }
 
   /** How many changes users' requests may make now. */
-  public int writable() {
+  public int availableWrites() {
     return (int) writes.available();
   }
 
-  public double answeredAt() {
-    return answeredAt;
+  public double lastResponseAt() {
+    return lastResponseAt;
   }
 
   private void send(
@@ -156,18 +158,18 @@
       byte[] body,
       double timeoutS,
       boolean vital,
-      Answer.Receiver then) {
-    if (!requests.take(1, vital)) {
-      loop.soon(() -> then.receive(OVER_BUDGET));
+      Response.Callback then) {
+    if (!requests.tryAcquire(1, vital)) {
+      loop.execute(() -> then.onResponse(OVER_BUDGET));
       return;
     }
     if (lost >= SILENT_AFTER && !vital && loop.now() < triedAt + timeoutS) {
-      loop.soon(() -> then.receive(SILENT));
+      loop.execute(() -> then.onResponse(SILENT));
       return;
     }
     triedAt = loop.now();
     client.send(
-        settings.state(),
+        settings.stateServiceAddress(),
         method,
         path,
         body,
@@ -175,36 +177,36 @@
         answer -> {
           lost = answer.status() > 0 ? 0 : lost + 1;
           if (answer.status() > 0 && answer.status() < 429) {
-            answeredAt = loop.now();
+            lastResponseAt = loop.now();
           } else if (answer.status() == 429) {
-            refusedForItsRate();
+            onRateLimited();
           }
-          then.receive(answer);
+          then.onResponse(answer);
         });
   }
 
   /** Reads one key. */
-  public void get(String key, boolean vital, Consumer<KeyState> then) {
-    send("GET", "/kv/" + key, null, TIMEOUT_S, vital, answer -> then.accept(KeyState.of(answer)));
+  public void get(String key, boolean vital, Consumer<GetResult> then) {
+    send("GET", "/kv/" + key, null, TIMEOUT_S, vital, answer -> then.accept(GetResult.of(answer)));
   }
 
   /** Sends a transaction. */
-  public void commit(Txn txn, boolean vital, Consumer<CommitResult> then) {
-    if (txn.changes() > 0 && !writes.take(txn.changes(), vital)) {
-      loop.soon(() -> then.accept(CommitResult.of(OVER_BUDGET)));
+  public void commit(Transaction txn, boolean vital, Consumer<CommitResult> then) {
+    if (txn.writeCount() > 0 && !writes.tryAcquire(txn.writeCount(), vital)) {
+      loop.execute(() -> then.accept(CommitResult.of(OVER_BUDGET)));
       return;
     }
     send(
         "POST",
         "/commit",
-        txn.bytes(),
+        txn.toBytes(),
         TIMEOUT_S,
         vital,
         answer -> then.accept(CommitResult.of(answer)));
   }
 
   /** Creates a lease, and tells its id; empty when that failed. */
-  public void grant(double lifeS, Consumer<OptionalLong> then) {
+  public void grantLease(double lifeS, Consumer<OptionalLong> then) {
     byte[] body = Json.bytes(Json.object().put("LifeMs", Math.round(lifeS * 1000)));
     send(
         "POST",
@@ -217,23 +219,23 @@
           then.accept(
               lease == null
                   ? OptionalLong.empty()
-                  : OptionalLong.of(Json.count(lease, "Permit", 0)));
+                  : OptionalLong.of(Json.integer(lease, "Permit", 0)));
         });
   }
 
   /** Renews a lease. */
-  public void renew(long lease, double timeoutS, Consumer<Renewal> then) {
+  public void renewLease(long lease, double timeoutS, Consumer<LeaseRenewal> then) {
     send(
         "POST",
         "/holds/" + lease + "/renew",
         Json.bytes(Json.object()),
         timeoutS,
         true,
-        answer -> then.accept(Renewal.of(answer)));
+        answer -> then.accept(LeaseRenewal.of(answer)));
   }
 
   /** Ends a lease at once, and tells when that was answered. */
-  public void release(long lease, Runnable then) {
+  public void revokeLease(long lease, Runnable then) {
     send("DELETE", "/holds/" + lease, null, TIMEOUT_S, true, answer -> then.run());
   }
 
@@ -243,11 +245,11 @@
   }
 
   /** Reads all keys under several prefixes, one after the other; null when any could not be had. */
-  public void lists(List<String> prefixes, Consumer<Map<String, Listing>> then) {
-    lists(prefixes, new HashMap<>(), then);
+  public void listAll(List<String> prefixes, Consumer<Map<String, Listing>> then) {
+    listAll(prefixes, new HashMap<>(), then);
   }
 
-  private void lists(
+  private void listAll(
       List<String> prefixes, Map<String, Listing> read, Consumer<Map<String, Listing>> then) {
     if (read.size() == prefixes.size()) {
       then.accept(read);
@@ -262,7 +264,7 @@
             then.accept(null);
           } else {
             read.put(prefix, listing);
-            lists(prefixes, read, then);
+            listAll(prefixes, read, then);
           }
         });
   }
@@ -327,15 +329,15 @@
           List<Entry> entries = new ArrayList<>();
           for (JsonNode item : body.get("Items")) {
             entries.add(
-                new Entry(Json.text(item, "K"), item.get("Data"), Json.count(item, "Stamp", 0)));
+                new Entry(Json.text(item, "K"), item.get("Data"), Json.integer(item, "Stamp", 0)));
           }
-          boolean last = !Json.flag(body, "Truncated") || entries.isEmpty();
-          then.accept(new Page(entries, Json.count(body, "Ledger", 0), last));
+          boolean last = !Json.bool(body, "Truncated") || entries.isEmpty();
+          then.accept(new Page(entries, Json.integer(body, "Ledger", 0), last));
         });
   }
 
   /** Waits for changes under a prefix after a revision. */
-  public void watch(String prefix, long after, double holdS, Consumer<Changes> then) {
+  public void watch(String prefix, long after, double holdS, Consumer<WatchResult> then) {
     String path =
         "/changes?Under=" + prefix + "&After=" + after + "&HoldMs=" + Math.round(holdS * 1000);
     send(
@@ -344,6 +346,6 @@
         null,
         holdS + TIMEOUT_S,
         true,
-        answer -> then.accept(Changes.of(answer, after)));
+        answer -> then.accept(WatchResult.of(answer, after)));
   }
 }
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
-import org.saffronshore.state.JobStore.Accepted;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.state.JobStore.SubmissionResult;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 
@@ -31,7 +31,7 @@
     final JobSpec job;
     final JsonNode stored;
     final int bytes;
-    final Consumer<Accepted> then;
+    final Consumer<SubmissionResult> then;
 
     /** Open jobs, all that this one needs, of which the commit proves that they are still open. */
     Set<String> proven = Set.of();
@@ -45,7 +45,7 @@
      */
     boolean alone;
 
-    Submission(JobSpec job, JsonNode stored, Consumer<Accepted> then) {
+    Submission(JobSpec job, JsonNode stored, Consumer<SubmissionResult> then) {
       this.job = job;
       this.stored = stored;
       this.bytes = Json.bytes(stored).length;
@@ -57,7 +57,7 @@
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient state;
   private final JobCache cache;
   private final JobReader reader;
@@ -68,38 +68,38 @@
   private boolean committing;
 
   SubmissionQueue(
-      Loop loop, StateClient state, JobCache cache, JobReader reader, Settings settings) {
+      EventLoop loop, StateClient state, JobCache cache, JobReader reader, Settings settings) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.reader = reader;
-    this.maxChanges = Math.max(1, settings.txnOps());
-    this.maxGuards = Txn.maxGuards(settings);
+    this.maxChanges = Math.max(1, settings.maxTransactionWrites());
+    this.maxGuards = Transaction.maxConditions(settings);
     // About what the write budget takes in a second.
-    this.capacity = (int) Math.max(4, settings.stateWriteRps() / settings.controllers());
+    this.capacity = (int) Math.max(4, settings.stateWritesPerS() / settings.controllerCount());
   }
 
   /**
    * Accepts a job if all jobs that it needs were ever accepted, which is read first as far as it is
    * not known.
    */
-  void accept(JobSpec job, long submittedMs, Consumer<Accepted> then) {
+  void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> then) {
     var stored = Json.object().put("At", submittedMs);
     stored.set("Spec", job.toJson());
-    accept(new Submission(job, stored, then));
+    submit(new Submission(job, stored, then));
   }
 
-  private void accept(Submission submission) {
+  private void submit(Submission submission) {
     if (waiting.size() >= capacity) {
-      submission.then.accept(Accepted.OVERLOADED);
+      submission.then.accept(SubmissionResult.OVERLOADED);
       return;
     }
     reader.readAll(
         submission.job.dependencies(),
         worst -> {
           switch (worst) {
-            case ABSENT -> submission.then.accept(Accepted.MISSING);
-            case UNKNOWN -> submission.then.accept(Accepted.UNKNOWN);
+            case NOT_FOUND -> submission.then.accept(SubmissionResult.UNKNOWN_DEPENDENCY);
+            case UNKNOWN -> submission.then.accept(SubmissionResult.UNKNOWN);
             default -> {
               waiting.add(submission);
               if (!committing) {
@@ -125,21 +125,21 @@
   }
 
   private void commitNext() {
-    int most = Math.min(maxChanges, state.writable());
+    int most = Math.min(maxChanges, state.availableWrites());
     if (most < 1) {
       // The queue is short: what waits here is written within about a second.
       committing = true;
-      loop.after(PAUSE_S, this::commitNext);
+      loop.schedule(PAUSE_S, this::commitNext);
       return;
     }
     List<Submission> batch = takeBatch(most);
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     for (Submission submission : batch) {
       String id = submission.job.id();
-      txn.guard(Keys.job(id), 0).guard(Keys.end(id), 0);
+      txn.expectVersion(Keys.openJob(id), 0).expectVersion(Keys.jobOutcome(id), 0);
       submission.proven.forEach(
-          needed -> txn.guard(Keys.job(needed), cache.record(needed).version()));
-      txn.set(Keys.job(id), submission.stored);
+          needed -> txn.expectVersion(Keys.openJob(needed), cache.record(needed).version()));
+      txn.put(Keys.openJob(id), submission.stored);
     }
     committing = true;
     state.commit(
@@ -181,23 +181,25 @@
   private void committed(List<Submission> batch, CommitResult result) {
     switch (result.outcome()) {
       case COMMITTED -> batch.forEach(submission -> accepted(submission, result.revision()));
-      case REFUSED -> refused(batch, result.failedJobs());
-      case OVERLOADED -> batch.forEach(submission -> submission.then.accept(Accepted.OVERLOADED));
+      case CONFLICT -> refused(batch, result.conflictingJobs());
+      case OVERLOADED ->
+          batch.forEach(submission -> submission.then.accept(SubmissionResult.OVERLOADED));
       case MALFORMED -> malformed(batch);
-      default -> batch.forEach(submission -> submission.then.accept(Accepted.UNKNOWN));
+      default -> batch.forEach(submission -> submission.then.accept(SubmissionResult.UNKNOWN));
     }
   }
 
   private void accepted(Submission submission, long version) {
     JobSpec job = submission.job;
     cache.putRecord(job.id(), new JobCache.JobRecord(version, job.dependencies()));
-    submission.then.accept(submission.complete ? Accepted.NEW : Accepted.NEW_UNPROVEN);
+    submission.then.accept(
+        submission.complete ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED);
   }
 
   /** One of them is at fault: each is tried alone. */
   private void malformed(List<Submission> batch) {
     if (batch.size() == 1) {
-      batch.get(0).then.accept(Accepted.UNKNOWN);
+      batch.get(0).then.accept(SubmissionResult.UNKNOWN);
       return;
     }
     Collections.reverse(batch);
@@ -213,13 +215,13 @@
     for (Submission submission : batch) {
       if (failed.contains(submission.job.id())) {
         explained = true;
-        submission.then.accept(Accepted.KNOWN);
+        submission.then.accept(SubmissionResult.DUPLICATE);
       } else if (!Collections.disjoint(submission.proven, failed)) {
         // A job that it needs has ended since that was read: its end is read, and the submission
         // tried again.
         explained = true;
         submission.proven.stream().filter(failed::contains).forEach(cache::dropRecord);
-        accept(submission);
+        submit(submission);
       } else {
         unaffected.add(submission);
       }
@@ -229,7 +231,7 @@
       if (explained) {
         waiting.addFirst(submission);
       } else {
-        submission.then.accept(Accepted.UNKNOWN);
+        submission.then.accept(SubmissionResult.UNKNOWN);
       }
     }
   }
