--- a/src/test/java/org/saffronshore/scheduling/PlainCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -18,27 +18,30 @@
  * The cycle without anything that only makes it faster: it looks at every machine for every task.
  * What the real one decides is compared with this on random views.
  */
-final class PlainCycle {
+final class ReferenceCycle {
 
   /** A queue entry: a pending job, or one evicted task that may only return to its own host. */
-  private record Entry(PendingJob pending, HostedTask evicted, Host home) {
+  private record Entry(PendingJob pending, PlacedTask evicted, MachineView home) {
     JobSpec job() {
       return evicted != null ? evicted.job() : pending.job;
     }
   }
 
-  private final Collection<Host> hosts;
+  private final Collection<MachineView> hosts;
   private final Map<String, Team> teams;
   private final SchedulingSettings tuning;
   private final Map<String, List<Entry>> queues = new LinkedHashMap<>();
-  private final List<Plan.Placement> placements = new ArrayList<>();
-  private final List<Plan.Stop> stops = new ArrayList<>();
-  private final List<Plan.LimitedTasks> limited = new ArrayList<>();
+  private final List<SchedulingPlan.Placement> placements = new ArrayList<>();
+  private final List<SchedulingPlan.Preemption> stops = new ArrayList<>();
+  private final List<SchedulingPlan.QuotaLimitedTasks> limited = new ArrayList<>();
   private final double now;
   private final Map<PendingJob, Integer> unmet = new LinkedHashMap<>();
 
-  private PlainCycle(
-      Collection<Host> hosts, Map<String, Team> teams, SchedulingSettings tuning, double now) {
+  private ReferenceCycle(
+      Collection<MachineView> hosts,
+      Map<String, Team> teams,
+      SchedulingSettings tuning,
+      double now) {
     this.now = now;
     this.hosts = hosts;
     this.teams = teams;
@@ -46,23 +49,23 @@
   }
 
   /** Runs a cycle; only one with {@code evict} reconsiders tasks that are running. */
-  public static Plan run(
-      Collection<Host> hosts,
+  public static SchedulingPlan run(
+      Collection<MachineView> hosts,
       Collection<PendingJob> jobs,
       Map<String, Team> teams,
       SchedulingSettings tuning,
       boolean evict,
       RandomGenerator random,
       double now) {
-    PlainCycle cycle = new PlainCycle(hosts, teams, tuning, now);
+    ReferenceCycle cycle = new ReferenceCycle(hosts, teams, tuning, now);
     cycle.queue(jobs);
     if (evict) {
       cycle.evict(random);
     }
     cycle.fill();
-    List<Plan.UnplacedTasks> left = new ArrayList<>();
-    cycle.unmet.forEach((p, n) -> left.add(new Plan.UnplacedTasks(p.job, n)));
-    return new Plan(cycle.placements, cycle.stops, left, cycle.limited);
+    List<SchedulingPlan.UnplacedTasks> left = new ArrayList<>();
+    cycle.unmet.forEach((p, n) -> left.add(new SchedulingPlan.UnplacedTasks(p.job, n)));
+    return new SchedulingPlan(cycle.placements, cycle.stops, left, cycle.limited);
   }
 
   private void queue(Collection<PendingJob> jobs) {
@@ -95,18 +98,18 @@
       return;
     }
     Set<String> touched = new HashSet<>();
-    for (Host host : hosts) {
+    for (MachineView host : hosts) {
       if (random.nextDouble() >= tuning.evictionProbability()) {
         continue;
       }
-      for (HostedTask slot : List.copyOf(host.slots)) {
+      for (PlacedTask slot : List.copyOf(host.preemptibleTasks)) {
         Team owner = teams.get(slot.job().team());
         if (owner == null
             || starved.contains(slot.job().team())
             || !owner.beyondGuarantee(slot.job())) {
           continue;
         }
-        host.leave(slot);
+        host.evict(slot);
         owner.share(slot.job(), tuning, -1);
         queues
             .computeIfAbsent(slot.job().team(), t -> new ArrayList<>())
@@ -175,36 +178,39 @@
   private boolean step(Entry entry, Team team) {
     JobSpec job = entry.job();
     if (entry.evicted != null) {
-      if (entry.home.room.fits(job)) {
-        entry.home.enter(job);
+      if (entry.home.freeAfterStops.fits(job)) {
+        entry.home.place(job);
         team.share(job, tuning, 1);
       } else {
-        stops.add(new Plan.Stop(entry.evicted.task(), entry.home.id, "another team's guarantee"));
+        stops.add(
+            new SchedulingPlan.Preemption(
+                entry.evicted.task(), entry.home.id, "another team's guarantee"));
       }
       return true;
     }
     PendingJob pending = entry.pending;
     if (!team.withinLimit(job)) {
       limited.add(
-          new Plan.LimitedTasks(job, pending.left(), team.withinLimitOfKnown(job), team.use()));
+          new SchedulingPlan.QuotaLimitedTasks(
+              job, pending.remaining(), team.withinLimitOfKnown(job), team.use()));
       return true;
     }
     TaskId task = new TaskId(job.id(), pending.next());
-    Host host = choose(pending, task);
+    MachineView host = choose(pending, task);
     if (host == null) {
       host = preempt(pending, task, team);
     }
     if (host == null) {
-      unmet.put(pending, team.tasksWithinLimit(job, pending.left()));
+      unmet.put(pending, team.tasksWithinLimit(job, pending.remaining()));
       return true;
     }
-    pending.entered(host.kind.zone());
-    TeamUse counted = team.use();
+    pending.taskPlaced(host.kind.zone());
+    QuotaUsage counted = team.use();
     team.use(job, tuning);
-    host.enter(job);
+    host.place(job);
     if (host.free.fits(job)) {
-      host.free.take(job);
-      placements.add(new Plan.Placement(task, host.id, false, counted));
+      host.free.subtract(job);
+      placements.add(new SchedulingPlan.Placement(task, host.id, false, counted));
     }
     return pending.isEmpty();
   }
@@ -215,10 +221,10 @@
    * empty machines before shared ones; here every second of a machine is paid for, and one that
    * stays empty can be returned.
    */
-  private Host choose(PendingJob pending, TaskId task) {
-    Host best = null;
-    for (Host host : hosts) {
-      if (host.room.fits(pending.job)
+  private MachineView choose(PendingJob pending, TaskId task) {
+    MachineView best = null;
+    for (MachineView host : hosts) {
+      if (host.freeAfterStops.fits(pending.job)
           && allowed(host, pending, task)
           && (best == null || better(host, best, pending.job))) {
         best = host;
@@ -227,13 +233,13 @@
     return best;
   }
 
-  private static boolean allowed(Host host, PendingJob pending, TaskId task) {
+  private static boolean allowed(MachineView host, PendingJob pending, TaskId task) {
     return host.kind.allows(pending.job)
         && pending.zoneAllowed(host.kind.zone())
-        && !host.barred(task);
+        && !host.hasTraceOf(task);
   }
 
-  private static boolean better(Host a, Host b, JobSpec job) {
+  private static boolean better(MachineView a, MachineView b, JobSpec job) {
     boolean nowA = a.free.fits(job);
     if (nowA != b.free.fits(job)) {
       return nowA;
@@ -241,39 +247,39 @@
     if (Math.abs(a.cpus - b.cpus) > 1e-6) {
       return a.cpus < b.cpus;
     }
-    boolean heldByA = a.holds(job.image());
-    if (heldByA != b.holds(job.image())) {
+    boolean heldByA = a.hasImage(job.image());
+    if (heldByA != b.hasImage(job.image())) {
       return heldByA;
     }
     if (a.kind.spot() != b.kind.spot()) {
       return a.kind.spot();
     }
-    int setA = a.set(job.team());
-    int setB = b.set(job.team());
+    int setA = a.sharingRank(job.team());
+    int setB = b.sharingRank(job.team());
     if (setA != setB) {
       return setA < setB;
     }
-    return a.room.cpus < b.room.cpus - 1e-6;
+    return a.freeAfterStops.cpus < b.freeAfterStops.cpus - 1e-6;
   }
 
   /**
    * Makes room on the host where that wastes the least work, by stops that the protocol allows;
    * null if nowhere.
    */
-  private Host preempt(PendingJob pending, TaskId task, Team team) {
+  private MachineView preempt(PendingJob pending, TaskId task, Team team) {
     boolean guaranteed = team.withinGuarantee(pending.job);
-    Host best = null;
-    List<HostedTask> bestVictims = null;
+    MachineView best = null;
+    List<PlacedTask> bestVictims = null;
     double bestLoss = Double.POSITIVE_INFINITY;
-    for (Host host : hosts) {
+    for (MachineView host : hosts) {
       if (!allowed(host, pending, task)) {
         continue;
       }
-      List<HostedTask> victims = victims(host, pending.job, guaranteed);
+      List<PlacedTask> victims = victims(host, pending.job, guaranteed);
       double loss =
           victims == null
               ? Double.POSITIVE_INFINITY
-              : victims.stream().mapToDouble(s -> s.lostS(now) * tuning.cost(s.job())).sum();
+              : victims.stream().mapToDouble(s -> s.lostWorkS(now) * tuning.cost(s.job())).sum();
       if (loss < bestLoss) {
         best = host;
         bestVictims = victims;
@@ -283,11 +289,11 @@
     if (best == null) {
       return null;
     }
-    for (HostedTask victim : bestVictims) {
-      best.leave(victim);
+    for (PlacedTask victim : bestVictims) {
+      best.evict(victim);
       teams.get(victim.job().team()).share(victim.job(), tuning, -1);
       stops.add(
-          new Plan.Stop(
+          new SchedulingPlan.Preemption(
               victim.task(),
               best.id,
               guaranteed
@@ -297,11 +303,11 @@
     return best;
   }
 
-  private List<HostedTask> victims(Host host, JobSpec job, boolean guaranteed) {
-    Resources room = host.room.copy();
-    List<HostedTask> victims = new ArrayList<>();
+  private List<PlacedTask> victims(MachineView host, JobSpec job, boolean guaranteed) {
+    Resources room = host.freeAfterStops.copy();
+    List<PlacedTask> victims = new ArrayList<>();
     Map<String, Resources> taken = new HashMap<>();
-    for (HostedTask slot : candidates(host, job, guaranteed)) {
+    for (PlacedTask slot : candidates(host, job, guaranteed)) {
       if (room.fits(job)) {
         break;
       }
@@ -309,26 +315,28 @@
           slot.job().priority().ordinal() < job.priority().ordinal()
               && (guaranteed || slot.job().team().equals(job.team()));
       Resources sum = taken.computeIfAbsent(slot.job().team(), t -> new Resources(0, 0, 0));
-      sum.give(slot.job());
+      sum.add(slot.job());
       // Several victims of one team may together reach into its guarantee even if none does alone.
       if (!lower && reachesGuarantee(teams.get(slot.job().team()), sum)) {
-        sum.take(slot.job());
+        sum.subtract(slot.job());
         continue;
       }
       victims.add(slot);
-      room.give(slot.job());
+      room.add(slot.job());
     }
     return room.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
   private static boolean reachesGuarantee(Team owner, Resources sum) {
-    return owner.rights.cpus() > 0 && owner.cpus - sum.cpus < owner.rights.cpus() - 1e-6
-        || owner.rights.gpus() > 0 && owner.gpus - sum.gpus < owner.rights.gpus() - 1e-6;
+    return owner.quota.guaranteedCpus() > 0
+            && owner.cpus - sum.cpus < owner.quota.guaranteedCpus() - 1e-6
+        || owner.quota.guaranteedGpus() > 0
+            && owner.gpus - sum.gpus < owner.quota.guaranteedGpus() - 1e-6;
   }
 
-  private List<HostedTask> candidates(Host host, JobSpec job, boolean guaranteed) {
-    List<HostedTask> candidates = new ArrayList<>();
-    for (HostedTask slot : host.slots) {
+  private List<PlacedTask> candidates(MachineView host, JobSpec job, boolean guaranteed) {
+    List<PlacedTask> candidates = new ArrayList<>();
+    for (PlacedTask slot : host.preemptibleTasks) {
       Team owner = teams.get(slot.job().team());
       if (owner == null) {
         continue;
@@ -343,7 +351,7 @@
       }
     }
     candidates.sort(
-        Comparator.comparingDouble((HostedTask s) -> s.lostS(now) * tuning.cost(s.job())));
+        Comparator.comparingDouble((PlacedTask s) -> s.lostWorkS(now) * tuning.cost(s.job())));
     return candidates;
   }
 }
--- a/src/test/java/org/saffronshore/scheduling/CycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -17,28 +17,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.saffronshore.Samples;
+import org.saffronshore.TestData;
 import org.saffronshore.config.Settings;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-class CycleTest {
+class SchedulingCycleTest {
   private static final double NOW = 100;
-  private final List<Host> hosts = new ArrayList<>();
+  private final List<MachineView> hosts = new ArrayList<>();
   private final List<PendingJob> jobs = new ArrayList<>();
   private final Map<String, Team> teams = new HashMap<>();
 
   private void team(String name, double guarantee, double most) {
     teams.put(
         name,
-        new Team(new Settings.Team(name, guarantee, most, 0, 0), guarantee > 0 ? guarantee : 1));
+        new Team(
+            new Settings.TeamQuota(name, guarantee, most, 0, 0), guarantee > 0 ? guarantee : 1));
   }
 
-  private Host host(String id, String zone, boolean spot, double cpus, TaskId... barred) {
-    Host host =
-        new Host(
+  private MachineView host(String id, String zone, boolean spot, double cpus, TaskId... barred) {
+    MachineView host =
+        new MachineView(
             id,
             new MachineKind("big", zone, spot),
             new Resources(cpus, 0, 1000),
@@ -48,10 +49,10 @@
     return host;
   }
 
-  private void running(Host host, JobSpec job, int from, int to) {
+  private void running(MachineView host, JobSpec job, int from, int to) {
     for (int i = from; i < to; i++) {
-      host.add(new HostedTask(new TaskId(job.id(), i), job, false, NOW - 10));
-      teams.get(job.team()).use(job, SchedulingSettings.START);
+      host.add(new PlacedTask(new TaskId(job.id(), i), job, false, NOW - 10));
+      teams.get(job.team()).use(job, SchedulingSettings.DEFAULTS);
     }
   }
 
@@ -65,12 +66,13 @@
     return all;
   }
 
-  private Plan run(double evictionProbability) {
+  private SchedulingPlan run(double evictionProbability) {
     SchedulingSettings tuning = new SchedulingSettings(5, evictionProbability, 1, 0);
-    return Cycle.run(hosts, jobs, teams, tuning, evictionProbability > 0, new Random(1), NOW);
+    return SchedulingCycle.run(
+        hosts, jobs, teams, tuning, evictionProbability > 0, new Random(1), NOW);
   }
 
-  private static long placed(Plan plan, String job) {
+  private static long placed(SchedulingPlan plan, String job) {
     return plan.placements().stream().filter(p -> p.task().job().equals(job)).count();
   }
 
@@ -82,14 +84,14 @@
   void sharesTwoMachinesAsInThePaper() {
     team("A", 32, 0);
     team("B", 32, 0);
-    JobSpec a = Samples.job("wk-1", "A", Priority.STANDARD, 40, 1);
+    JobSpec a = TestData.job("wk-1", "A", Priority.STANDARD, 40, 1);
     running(host("one", "a", false, 32), a, 0, 32);
     running(host("two", "a", false, 32), a, 32, 40);
-    queued(Samples.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
-    Plan plan = run(1);
+    queued(TestData.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
+    SchedulingPlan plan = run(1);
     assertEquals(24, placed(plan, "wk-2"));
-    assertEquals(8, plan.stops().size());
-    assertEquals(18, plan.unmet().stream().mapToInt(Plan.UnplacedTasks::tasks).sum());
+    assertEquals(8, plan.preemptions().size());
+    assertEquals(18, plan.unplaced().stream().mapToInt(SchedulingPlan.UnplacedTasks::tasks).sum());
   }
 
   /**
@@ -118,13 +120,13 @@
     team("F", 0, 0);
     team("H", 0, 0);
     team("U", 0, 0);
-    teams.get("F").use(Samples.job("wk-9", "F", Priority.IDLE, 1, 4), SchedulingSettings.START);
+    teams.get("F").use(TestData.job("wk-9", "F", Priority.IDLE, 1, 4), SchedulingSettings.DEFAULTS);
     host("one", "a", false, 8);
-    queued(Samples.job("wk-1", team1, class1, 1, 8), order1);
-    queued(Samples.job("wk-2", team2, class2, 1, 8), order2);
-    Plan plan = run(0);
+    queued(TestData.job("wk-1", team1, class1, 1, 8), order1);
+    queued(TestData.job("wk-2", team2, class2, 1, 8), order2);
+    SchedulingPlan plan = run(0);
     assertEquals(List.of(winner), plan.placements().stream().map(p -> p.task().job()).toList());
-    assertTrue(plan.stops().isEmpty());
+    assertTrue(plan.preemptions().isEmpty());
   }
 
   /**
@@ -142,11 +144,11 @@
     team("G", 8, 0);
     team("F", 0, 0);
     team("H", 0, 0);
-    running(host("one", "a", false, 8), Samples.job("wk-1", runs, runsClass, 1, 8), 0, 1);
-    queued(Samples.job("wk-2", waits, waitsClass, 1, 8), 2);
+    running(host("one", "a", false, 8), TestData.job("wk-1", runs, runsClass, 1, 8), 0, 1);
+    queued(TestData.job("wk-2", waits, waitsClass, 1, 8), 2);
     for (double probability : new double[] {0, 1}) {
-      Plan plan = run(probability);
-      assertEquals(stops, !plan.stops().isEmpty());
+      SchedulingPlan plan = run(probability);
+      assertEquals(stops, !plan.preemptions().isEmpty());
       assertEquals(0, plan.placements().size(), "nothing starts before the room is free");
       if (stops) {
         return;
@@ -162,15 +164,17 @@
   void doesNotTakeTurns() {
     team("F", 0, 0);
     team("H", 0, 0);
-    Host one = host("one", "a", false, 8);
-    JobSpec low = Samples.job("wk-1", "F", Priority.STANDARD, 1, 8);
-    one.add(new HostedTask(new TaskId("wk-1", 0), low, true, NOW));
-    queued(Samples.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
-    teams.get("H").use(Samples.job("wk-8", "H", Priority.URGENT, 1, 4), SchedulingSettings.START);
-    queued(Samples.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
-    Plan plan = run(0);
-    assertTrue(plan.placements().isEmpty() && plan.stops().isEmpty());
-    assertEquals(List.of("wk-3"), plan.unmet().stream().map(u -> u.job().id()).toList());
+    MachineView one = host("one", "a", false, 8);
+    JobSpec low = TestData.job("wk-1", "F", Priority.STANDARD, 1, 8);
+    one.add(new PlacedTask(new TaskId("wk-1", 0), low, true, NOW));
+    queued(TestData.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
+    teams
+        .get("H")
+        .use(TestData.job("wk-8", "H", Priority.URGENT, 1, 4), SchedulingSettings.DEFAULTS);
+    queued(TestData.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
+    SchedulingPlan plan = run(0);
+    assertTrue(plan.placements().isEmpty() && plan.preemptions().isEmpty());
+    assertEquals(List.of("wk-3"), plan.unplaced().stream().map(u -> u.job().id()).toList());
   }
 
   /**
@@ -182,9 +186,9 @@
   void evictedTasksCountAgainstTheLimit() {
     team("F", 0, 16);
     team("G", 8, 0);
-    running(host("one", "a", false, 16), Samples.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
+    running(host("one", "a", false, 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
     host("two", "a", false, 8);
-    queued(Samples.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
+    queued(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
     queued(
         new JobSpec(
             "wk-3",
@@ -214,15 +218,15 @@
   void packsTheOwnMachineThenSharedThenEmpty() {
     team("F", 0, 0);
     team("H", 0, 0);
-    Host own = host("own", "a", false, 8);
-    Host shared = host("shared", "a", false, 8);
+    MachineView own = host("own", "a", false, 8);
+    MachineView shared = host("shared", "a", false, 8);
     host("empty", "a", false, 8);
-    running(own, Samples.job("wk-1", "F", Priority.STANDARD, 1, 4), 0, 1);
-    running(shared, Samples.job("wk-2", "H", Priority.STANDARD, 1, 4), 0, 1);
-    queued(Samples.job("wk-3", "F", Priority.STANDARD, 3, 4), 1);
+    running(own, TestData.job("wk-1", "F", Priority.STANDARD, 1, 4), 0, 1);
+    running(shared, TestData.job("wk-2", "H", Priority.STANDARD, 1, 4), 0, 1);
+    queued(TestData.job("wk-3", "F", Priority.STANDARD, 3, 4), 1);
     assertEquals(
         List.of("own", "shared", "empty"),
-        run(0).placements().stream().map(Plan.Placement::host).toList());
+        run(0).placements().stream().map(SchedulingPlan.Placement::machine).toList());
   }
 
   /** Constraints of a job of 4 tasks, and how many of them two zones with room for all can take. */
@@ -265,11 +269,11 @@
             0,
             100);
     queued(job, 1);
-    Plan plan = run(0);
+    SchedulingPlan plan = run(0);
     assertEquals(expected, plan.placements().size());
     Map<String, Integer> perZone = new HashMap<>();
     plan.placements()
-        .forEach(p -> perZone.merge(p.host().equals("b") ? "b" : "a", 1, Integer::sum));
+        .forEach(p -> perZone.merge(p.machine().equals("b") ? "b" : "a", 1, Integer::sum));
     if (oneZone) {
       assertEquals(1, perZone.size());
     }
@@ -306,14 +310,14 @@
             0,
             100);
     jobs.add(new PendingJob(job, 1, BitSet.valueOf(new long[] {0b1_1110_0000}), Map.of("a", 5)));
-    assertTrue(run(0).placements().stream().allMatch(p -> p.host().equals("b")));
+    assertTrue(run(0).placements().stream().allMatch(p -> p.machine().equals("b")));
   }
 
   @Test
   void avoidsMachinesWithATraceOfTheTask() {
     team("F", 0, 0);
     host("a", "a", false, 16, new TaskId("wk-1", 0));
-    queued(Samples.job("wk-1", "F", Priority.STANDARD, 2, 1), 1);
+    queued(TestData.job("wk-1", "F", Priority.STANDARD, 2, 1), 1);
     assertEquals(
         List.of(), run(0).placements().stream().filter(p -> p.task().index() == 0).toList());
   }
@@ -334,12 +338,12 @@
   void nobodyStarves(boolean overdue, double free, String placed) {
     team("F", 0, 0);
     team("H", 0, 0);
-    Host host = host("one", "a", false, Math.max(8, free));
+    MachineView host = host("one", "a", false, Math.max(8, free));
     if (free < 8) {
-      running(host, Samples.job("wk-9", "H", Priority.URGENT, 1, 8 - free), 0, 1);
+      running(host, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - free), 0, 1);
     }
-    queued(Samples.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
-    queued(Samples.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
+    queued(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
+    queued(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
     if (overdue) {
       jobs.set(0, jobs.get(0).overdue());
     }
@@ -360,9 +364,11 @@
       SchedulingSettings tuning = new SchedulingSettings(5, evict ? 0.5 : 0, 1, 0);
       long view = random.nextLong();
       randomView(new Random(view));
-      Plan plain = PlainCycle.run(hosts, jobs, teams, tuning, evict, new Random(round), NOW);
+      SchedulingPlan plain =
+          ReferenceCycle.run(hosts, jobs, teams, tuning, evict, new Random(round), NOW);
       randomView(new Random(view));
-      assertEquals(plain, Cycle.run(hosts, jobs, teams, tuning, evict, new Random(round), NOW));
+      assertEquals(
+          plain, SchedulingCycle.run(hosts, jobs, teams, tuning, evict, new Random(round), NOW));
     }
   }
 
@@ -374,7 +380,7 @@
     team("G", random.nextInt(40), 0);
     team("H", random.nextInt(40), 40 + random.nextInt(60));
     for (int i = 0; i < 12; i++) {
-      Host host =
+      MachineView host =
           host(
               "host-" + i,
               random.nextBoolean() ? "a" : "b",
@@ -387,9 +393,9 @@
         if (job.cpus() <= free && random.nextInt(4) > 0) {
           free -= job.cpus();
           host.add(
-              new HostedTask(
+              new PlacedTask(
                   new TaskId(job.id(), 0), job, random.nextInt(5) == 0, NOW - random.nextInt(60)));
-          teams.get(job.team()).use(job, SchedulingSettings.START);
+          teams.get(job.team()).use(job, SchedulingSettings.DEFAULTS);
         }
       }
     }
--- a/src/test/java/org/saffronshore/state/JobStoreTest.java
+++ b/src/test/java/org/saffronshore/state/JobStoreTest.java
@@ -10,40 +10,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.saffronshore.FakeStateService;
-import org.saffronshore.ManualLoop;
-import org.saffronshore.Samples;
+import org.saffronshore.ManualEventLoop;
+import org.saffronshore.TestData;
 import org.saffronshore.config.Settings;
-import org.saffronshore.state.JobStore.Accepted;
-import org.saffronshore.state.JobStore.Status;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.JobStore.JobStatus;
+import org.saffronshore.state.JobStore.SubmissionResult;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
 class JobStoreTest {
-  private final ManualLoop loop = new ManualLoop();
+  private final ManualEventLoop loop = new ManualEventLoop();
   private final FakeStateService service = new FakeStateService(loop);
   private final JobStore here = store();
   private final JobStore there = store();
   private final List<Object> told = new ArrayList<>();
 
   private JobStore store() {
-    return store(Samples.settings().txnOps());
+    return store(TestData.settings().maxTransactionWrites());
   }
 
   private JobStore store(int txnOps) {
-    ObjectNode json = Samples.settingsJson();
+    ObjectNode json = TestData.settingsJson();
     json.withObject("/cluster/state").put("txn_ops", txnOps);
     try {
       Settings settings = Settings.parse(json);
       return new JobStore(loop, new StateClient(loop, service, settings), settings);
-    } catch (InvalidField e) {
+    } catch (InvalidFieldException e) {
       throw new AssertionError(e);
     }
   }
 
   private static JobSpec job(int n) {
-    return Samples.job("wk-" + n, "red", Priority.STANDARD, 2, 1);
+    return TestData.job("wk-" + n, "red", Priority.STANDARD, 2, 1);
   }
 
   private List<Object> told() {
@@ -55,27 +55,27 @@
 
   @Test
   void acceptsOnceWhoeverIsAsked() {
-    here.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.NEW), told());
-    there.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.KNOWN), told());
-    there.look("wk-1", told::add);
-    there.look("wk-2", told::add);
-    assertEquals(List.of(Status.OPEN, Status.ABSENT), told());
+    here.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.ACCEPTED), told());
+    there.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.DUPLICATE), told());
+    there.lookUp("wk-1", told::add);
+    there.lookUp("wk-2", told::add);
+    assertEquals(List.of(JobStatus.OPEN, JobStatus.NOT_FOUND), told());
   }
 
   /** One known job among many must not keep the others from being accepted. */
   @Test
   void submissionsShareTransactions() {
-    here.accept(job(3), 0, told::add);
+    here.submit(job(3), 0, told::add);
     told();
     int before = service.log.size();
     for (int i = 0; i < 8; i++) {
-      here.accept(job(i), 0, told::add);
+      here.submit(job(i), 0, told::add);
     }
     List<Object> all = told();
-    assertEquals(7, all.stream().filter(Accepted.NEW::equals).count());
-    assertEquals(1, all.stream().filter(Accepted.KNOWN::equals).count());
+    assertEquals(7, all.stream().filter(SubmissionResult.ACCEPTED::equals).count());
+    assertEquals(1, all.stream().filter(SubmissionResult.DUPLICATE::equals).count());
     assertTrue(service.log.size() - before <= 4, service.log.toString());
   }
 
@@ -85,17 +85,17 @@
   @Test
   void lostAnswersAreNotGuessedAt() {
     service.answerLost = (method, path) -> path.equals("/commit");
-    here.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.UNKNOWN), told());
+    here.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.UNKNOWN), told());
     here.cancel("wk-1", told::add);
-    assertEquals(List.of(Status.UNKNOWN), told());
+    assertEquals(List.of(JobStatus.UNKNOWN), told());
     service.answerLost = (method, path) -> false;
     here.cancel("wk-1", told::add);
-    assertEquals(List.of(Status.CANCELLED), told());
-    there.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.KNOWN), told());
-    there.look("wk-1", told::add);
-    assertEquals(List.of(Status.CANCELLED), told());
+    assertEquals(List.of(JobStatus.CANCELLED), told());
+    there.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.DUPLICATE), told());
+    there.lookUp("wk-1", told::add);
+    assertEquals(List.of(JobStatus.CANCELLED), told());
   }
 
   /**
@@ -104,40 +104,43 @@
   @Test
   void lateSubmissionDoesNotReviveAJob() {
     service.held = (method, path) -> path.equals("/commit");
-    here.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.UNKNOWN), told());
+    here.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.UNKNOWN), told());
     service.held = (method, path) -> false;
-    here.accept(job(1), 0, told::add);
-    assertEquals(List.of(Accepted.NEW), told());
+    here.submit(job(1), 0, told::add);
+    assertEquals(List.of(SubmissionResult.ACCEPTED), told());
     here.cancel("wk-1", told::add);
     told();
     service.deliverLate();
-    there.look("wk-1", told::add);
-    assertEquals(List.of(Status.CANCELLED), told());
+    there.lookUp("wk-1", told::add);
+    assertEquals(List.of(JobStatus.CANCELLED), told());
   }
 
   @Test
   void absenceIsOnlySaidWhenRead() {
     service.away = (method, path) -> path.contains("f/");
-    here.look("wk-1", told::add);
+    here.lookUp("wk-1", told::add);
     service.away = (method, path) -> true;
-    here.look("wk-1", told::add);
-    here.accept(job(1), 0, told::add);
+    here.lookUp("wk-1", told::add);
+    here.submit(job(1), 0, told::add);
     assertEquals(
-        3, told().stream().filter(s -> s == Status.UNKNOWN || s == Accepted.UNKNOWN).count());
+        3,
+        told().stream()
+            .filter(s -> s == JobStatus.UNKNOWN || s == SubmissionResult.UNKNOWN)
+            .count());
   }
 
   /** How a job ended never changes, so it is told even when the state service is away. */
   @Test
   void endsAreRemembered() {
-    here.accept(job(1), 0, told::add);
+    here.submit(job(1), 0, told::add);
     told();
     here.cancel("wk-1", told::add);
     told();
     service.away = (method, path) -> true;
-    here.look("wk-1", told::add);
+    here.lookUp("wk-1", told::add);
     here.cancel("wk-1", told::add);
-    assertEquals(List.of(Status.CANCELLED, Status.CANCELLED), told());
+    assertEquals(List.of(JobStatus.CANCELLED, JobStatus.CANCELLED), told());
   }
 
   /**
@@ -149,29 +152,30 @@
     service.valueBytes = 600;
     List<String> many = new ArrayList<>();
     for (int n = 100; n < 200; n++) {
-      service.put("f/wk-" + n, JobStore.endRecord(Status.DONE, 1));
+      service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
       many.add("wk-" + n);
     }
-    here.accept(job(50).after(many), 0, told::add);
+    here.submit(job(50).withDependencies(many), 0, told::add);
     told();
-    here.accept(job(1), 0, told::add);
+    here.submit(job(1), 0, told::add);
     for (int n = 2; n <= 5; n++) {
-      here.accept(n == 3 ? job(3).after(many) : job(n), 0, told::add);
+      here.submit(n == 3 ? job(3).withDependencies(many) : job(n), 0, told::add);
     }
     List<Object> all = told();
-    assertEquals(4, all.stream().filter(Accepted.NEW::equals).count(), all.toString());
-    assertEquals(1, all.stream().filter(Accepted.UNKNOWN::equals).count(), all.toString());
-    assertEquals(Status.ABSENT, look(there, 3));
-    assertEquals(Status.OPEN, look(there, 5));
+    assertEquals(4, all.stream().filter(SubmissionResult.ACCEPTED::equals).count(), all.toString());
+    assertEquals(1, all.stream().filter(SubmissionResult.UNKNOWN::equals).count(), all.toString());
+    assertEquals(JobStatus.NOT_FOUND, look(there, 3));
+    assertEquals(JobStatus.OPEN, look(there, 5));
   }
 
   @Test
   void refusesWhenItsShareOfTheRateIsSpent() {
     for (int i = 0; i < 2_000; i++) {
-      here.accept(job(i), 0, told::add);
+      here.submit(job(i), 0, told::add);
     }
     assertTrue(
-        told.stream().filter(Accepted.OVERLOADED::equals).count() > 1_000, "refused at once");
+        told.stream().filter(SubmissionResult.OVERLOADED::equals).count() > 1_000,
+        "refused at once");
     loop.pass(60);
     assertEquals(2_000, told.size(), "every submission got its answer");
   }
@@ -179,74 +183,74 @@
   // Jobs that need others
 
   private static JobSpec job(int n, String needs) {
-    return job(n).after(needs.isEmpty() ? List.of() : List.of(needs.split(" ")));
+    return job(n).withDependencies(needs.isEmpty() ? List.of() : List.of(needs.split(" ")));
   }
 
   /** wk-1 to wk-4, each needing the one before, and wk-5 that needs wk-1 and wk-3. */
   private void chain() {
     for (JobSpec job :
         List.of(job(1), job(2, "wk-1"), job(3, "wk-2"), job(4, "wk-3"), job(5, "wk-1 wk-3"))) {
-      here.accept(job, 0, told::add);
-      assertEquals(List.of(Accepted.NEW), told());
+      here.submit(job, 0, told::add);
+      assertEquals(List.of(SubmissionResult.ACCEPTED), told());
     }
   }
 
   private void done(int n) {
     service.remove("j/wk-" + n);
-    service.put("f/wk-" + n, JobStore.endRecord(Status.DONE, 1));
+    service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
   }
 
-  private Status look(JobStore at, int n) {
-    at.look("wk-" + n, told::add);
-    return (Status) told().get(0);
+  private JobStatus look(JobStore at, int n) {
+    at.lookUp("wk-" + n, told::add);
+    return (JobStatus) told().get(0);
   }
 
   @ParameterizedTest
   @CsvSource({
-    "wk-1, NEW",
-    "wk-1 wk-2, NEW",
-    "wk-7, NEW",
-    "wk-8, NEW_UNPROVEN",
-    "wk-1 wk-8, NEW_UNPROVEN",
-    "wk-9, MISSING",
-    "wk-1 wk-9, MISSING",
-    "wk-8 wk-9, MISSING",
-    "wk-6, MISSING"
+    "wk-1, ACCEPTED",
+    "wk-1 wk-2, ACCEPTED",
+    "wk-7, ACCEPTED",
+    "wk-8, ACCEPTED_UNVERIFIED",
+    "wk-1 wk-8, ACCEPTED_UNVERIFIED",
+    "wk-9, UNKNOWN_DEPENDENCY",
+    "wk-1 wk-9, UNKNOWN_DEPENDENCY",
+    "wk-8 wk-9, UNKNOWN_DEPENDENCY",
+    "wk-6, UNKNOWN_DEPENDENCY"
   })
-  void onlyAcceptedJobsMayBeNeeded(String needs, Accepted accepted) {
-    here.accept(job(1), 0, told::add);
-    here.accept(job(2), 0, told::add);
-    here.accept(job(7), 0, told::add);
-    here.accept(job(8), 0, told::add);
+  void onlyAcceptedJobsMayBeNeeded(String needs, SubmissionResult accepted) {
+    here.submit(job(1), 0, told::add);
+    here.submit(job(2), 0, told::add);
+    here.submit(job(7), 0, told::add);
+    here.submit(job(8), 0, told::add);
     told();
     done(7);
     here.cancel("wk-8", told::add);
     told();
-    there.accept(job(6, needs), 0, told::add);
+    there.submit(job(6, needs), 0, told::add);
     assertEquals(List.of(accepted), told());
   }
 
   /** An end of a needed job that meets the submission is neither missed nor taken for absence. */
   @Test
   void aNeededJobMayEndWhileAnotherIsAccepted() {
-    here.accept(job(1), 0, told::add);
+    here.submit(job(1), 0, told::add);
     told();
-    there.accept(job(2, "wk-1"), 0, told::add);
-    assertEquals(List.of(Accepted.NEW), told());
+    there.submit(job(2, "wk-1"), 0, told::add);
+    assertEquals(List.of(SubmissionResult.ACCEPTED), told());
     done(1);
     // It knows wk-1 as open by now.
-    there.accept(job(3, "wk-1"), 0, told::add);
-    there.accept(job(4), 0, told::add);
-    assertEquals(List.of(Accepted.NEW, Accepted.NEW), told());
+    there.submit(job(3, "wk-1"), 0, told::add);
+    there.submit(job(4), 0, told::add);
+    assertEquals(List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED), told());
   }
 
   @Test
   void whatIsNeededIsNotGuessedAt() {
-    here.accept(job(1), 0, told::add);
+    here.submit(job(1), 0, told::add);
     told();
     service.away = (method, path) -> true;
-    there.accept(job(2, "wk-1"), 0, told::add);
-    assertEquals(List.of(Accepted.UNKNOWN), told());
+    there.submit(job(2, "wk-1"), 0, told::add);
+    assertEquals(List.of(SubmissionResult.UNKNOWN), told());
   }
 
   /**
@@ -263,7 +267,7 @@
   void cancelsWithWhatIsNeeded(int cancelled, String statuses) {
     chain();
     for (int n = 1; n <= 5; n++) {
-      assertEquals(Status.OPEN, look(here, n));
+      assertEquals(JobStatus.OPEN, look(here, n));
     }
     there.cancel("wk-" + cancelled, told::add);
     told();
@@ -274,9 +278,10 @@
       }
       assertEquals(statuses, String.join(" ", all));
     }
-    here.accept(job(6, "wk-" + cancelled), 0, told::add);
-    assertEquals(List.of(Accepted.NEW_UNPROVEN), told(), "it is accepted all the same");
-    assertEquals(Status.CANCELLED, look(store(), 6));
+    here.submit(job(6, "wk-" + cancelled), 0, told::add);
+    assertEquals(
+        List.of(SubmissionResult.ACCEPTED_UNVERIFIED), told(), "it is accepted all the same");
+    assertEquals(JobStatus.CANCELLED, look(store(), 6));
   }
 
   @Test
@@ -284,9 +289,9 @@
     chain();
     done(1);
     here.cancel("wk-1", told::add);
-    assertEquals(List.of(Status.DONE), told());
+    assertEquals(List.of(JobStatus.DONE), told());
     for (int n = 2; n <= 5; n++) {
-      assertEquals(Status.OPEN, look(there, n));
+      assertEquals(JobStatus.OPEN, look(there, n));
     }
   }
 
@@ -296,12 +301,12 @@
   @Test
   void asksForAWholeChainAtOnce() {
     chain();
-    assertEquals(Status.OPEN, look(there, 5));
+    assertEquals(JobStatus.OPEN, look(there, 5));
     int before = service.log.size();
-    assertEquals(Status.OPEN, look(there, 5));
+    assertEquals(JobStatus.OPEN, look(there, 5));
     assertEquals(1, service.log.size() - before, service.log.toString());
     done(1);
-    assertEquals(Status.OPEN, look(there, 5));
+    assertEquals(JobStatus.OPEN, look(there, 5));
   }
 
   /**
@@ -312,11 +317,11 @@
   void submitsAChainWithOneRequestEach() {
     for (int n = 1; n <= 10; n++) {
       int before = service.log.size();
-      here.accept(n == 1 ? job(1) : job(n, "wk-" + (n - 1)), 0, told::add);
-      assertEquals(List.of(Accepted.NEW), told());
+      here.submit(n == 1 ? job(1) : job(n, "wk-" + (n - 1)), 0, told::add);
+      assertEquals(List.of(SubmissionResult.ACCEPTED), told());
       assertEquals(1, service.log.size() - before, service.log.toString());
     }
-    assertEquals(Status.OPEN, look(there, 10));
+    assertEquals(JobStatus.OPEN, look(there, 10));
   }
 
   /**
@@ -330,11 +335,13 @@
     there.cancel("wk-" + cancelled, told::add);
     told();
     // It knows the chain as open.
-    here.accept(job(6, "wk-4"), 0, told::add);
-    here.accept(job(7), 0, told::add);
-    assertEquals(List.of(Accepted.NEW, Accepted.NEW_UNPROVEN), told().stream().sorted().toList());
-    assertEquals(Status.CANCELLED, look(here, 6));
-    assertEquals(Status.OPEN, look(here, 7));
+    here.submit(job(6, "wk-4"), 0, told::add);
+    here.submit(job(7), 0, told::add);
+    assertEquals(
+        List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED_UNVERIFIED),
+        told().stream().sorted().toList());
+    assertEquals(JobStatus.CANCELLED, look(here, 6));
+    assertEquals(JobStatus.OPEN, look(here, 7));
   }
 
   /**
@@ -343,13 +350,13 @@
    */
   @ParameterizedTest
   @CsvSource({
-    "9, 0, NEW_UNPROVEN, OPEN",
-    "1200, 0, NEW_UNPROVEN, OPEN",
-    "1200, 1200, NEW, OPEN",
-    "1200, 700, NEW_UNPROVEN, OPEN",
-    "1200, -700, NEW_UNPROVEN, CANCELLED"
+    "9, 0, ACCEPTED_UNVERIFIED, OPEN",
+    "1200, 0, ACCEPTED_UNVERIFIED, OPEN",
+    "1200, 1200, ACCEPTED, OPEN",
+    "1200, 700, ACCEPTED_UNVERIFIED, OPEN",
+    "1200, -700, ACCEPTED_UNVERIFIED, CANCELLED"
   })
-  void mayNeedManyJobs(int jobs, int ended, Accepted accepted, Status status) {
+  void mayNeedManyJobs(int jobs, int ended, SubmissionResult accepted, JobStatus status) {
     service.txnOps = 2;
     JobStore cold = store(2);
     List<String> all = new ArrayList<>();
@@ -360,18 +367,19 @@
       } else {
         service.put(
             "f/wk-" + n,
-            JobStore.endRecord(ended < 0 && n == 1500 ? Status.CANCELLED : Status.DONE, 1));
+            JobStore.outcomeRecord(
+                ended < 0 && n == 1500 ? JobStatus.CANCELLED : JobStatus.DONE, 1));
       }
     }
     int before = service.log.size();
-    cold.accept(job(1).after(all), 0, told::add);
+    cold.submit(job(1).withDependencies(all), 0, told::add);
     assertEquals(List.of(accepted), told());
     assertEquals(status, look(cold, 1));
     assertEquals(status, look(store(2), 1));
     assertTrue(service.log.size() - before <= 30, service.log.size() - before + " requests");
     all.add("wk-999999");
-    store(2).accept(job(2).after(all), 0, told::add);
-    assertEquals(List.of(Accepted.MISSING), told());
+    store(2).submit(job(2).withDependencies(all), 0, told::add);
+    assertEquals(List.of(SubmissionResult.UNKNOWN_DEPENDENCY), told());
     assertEquals(0, service.malformed);
   }
 
@@ -384,14 +392,14 @@
       all.add("wk-" + n);
       service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
     }
-    here.accept(job(1).after(all), 0, told::add);
+    here.submit(job(1).withDependencies(all), 0, told::add);
     told();
-    assertEquals(Status.OPEN, look(there, 1));
+    assertEquals(JobStatus.OPEN, look(there, 1));
     done(1000);
-    assertEquals(Status.OPEN, look(there, 1));
+    assertEquals(JobStatus.OPEN, look(there, 1));
     here.cancel("wk-1010", told::add);
     told();
-    assertEquals(Status.CANCELLED, look(there, 1));
+    assertEquals(JobStatus.CANCELLED, look(there, 1));
   }
 
   @Test
@@ -399,12 +407,12 @@
     List<String> all = new ArrayList<>();
     for (int n = 1000; n < 1020; n++) {
       all.add("wk-" + n);
-      service.put("f/wk-" + n, JobStore.endRecord(Status.DONE, 1));
+      service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
     }
     for (String prefix : List.of("Under=j/", "Under=f/")) {
       service.away = (method, path) -> path.contains(prefix);
-      there.accept(job(2).after(all), 0, told::add);
-      assertEquals(List.of(Accepted.UNKNOWN), told());
+      there.submit(job(2).withDependencies(all), 0, told::add);
+      assertEquals(List.of(SubmissionResult.UNKNOWN), told());
     }
   }
 
@@ -413,11 +421,11 @@
   /** A burst of polls would spend the controller's share of the requests, were each of them one. */
   @Test
   void pollsInQuickSuccessionShareRequests() {
-    service.txnOps = Samples.settings().txnOps();
+    service.txnOps = TestData.settings().maxTransactionWrites();
     for (int n = 1; n <= 60; n++) {
       service.put(
           "j/wk-" + n, Json.object().set("Spec", (n % 2 == 0 ? job(n, "wk-1") : job(n)).toJson()));
-      assertEquals(Status.OPEN, look(there, n));
+      assertEquals(JobStatus.OPEN, look(there, n));
     }
     done(7);
     here.cancel("wk-9", told::add);
@@ -426,7 +434,7 @@
     List<String> answers = new ArrayList<>();
     for (int n = 1; n <= 60; n++) {
       int job = n;
-      there.look("wk-" + n, status -> answers.add(job + " " + status));
+      there.lookUp("wk-" + n, status -> answers.add(job + " " + status));
     }
     loop.pass(1);
     assertEquals(60, answers.size());
@@ -447,7 +455,7 @@
     service.namesOneFailure = true;
     for (int n = 1; n <= 20; n++) {
       service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
-      assertEquals(Status.OPEN, look(there, n));
+      assertEquals(JobStatus.OPEN, look(there, n));
     }
     List.of(3, 5, 8).forEach(this::done);
     here.cancel("wk-9", told::add);
@@ -455,10 +463,10 @@
     List<String> ended = new ArrayList<>();
     for (int n = 1; n <= 20; n++) {
       int job = n;
-      there.look(
+      there.lookUp(
           "wk-" + n,
           status -> {
-            if (status != Status.OPEN) {
+            if (status != JobStatus.OPEN) {
               ended.add(job + " " + status);
             }
           });
@@ -472,16 +480,16 @@
   void aBurstOfQuestionsIsRefusedWhenTheServiceIsAway() {
     for (int n = 1; n <= 60; n++) {
       service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
-      assertEquals(Status.OPEN, look(there, n));
+      assertEquals(JobStatus.OPEN, look(there, n));
     }
     service.away = (method, path) -> true;
     for (int n = 1; n <= 60; n++) {
-      there.look("wk-" + n, told::add);
+      there.lookUp("wk-" + n, told::add);
     }
     loop.pass(1);
-    assertEquals(60, told.stream().filter(Status.UNKNOWN::equals).count());
+    assertEquals(60, told.stream().filter(JobStatus.UNKNOWN::equals).count());
     service.away = (method, path) -> false;
     told.clear();
-    assertEquals(Status.OPEN, look(there, 60));
+    assertEquals(JobStatus.OPEN, look(there, 60));
   }
 }
--- a/src/test/java/org/saffronshore/wire/JobSpecTest.java
+++ b/src/test/java/org/saffronshore/wire/JobSpecTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.saffronshore.Samples;
+import org.saffronshore.TestData;
 
 class JobSpecTest {
 
@@ -28,15 +28,16 @@
             "Crew | null | Crew"
       })
   void refusesWhatIsInvalid(String field, String value, String named) {
-    ObjectNode body = Samples.job("wk-1", "red", Priority.URGENT, 3, 2).toJson();
+    ObjectNode body = TestData.job("wk-1", "red", Priority.URGENT, 3, 2).toJson();
     body.set(field, Json.parse(value.getBytes()));
-    assertEquals(named, assertThrows(InvalidField.class, () -> JobSpec.parse(body)).field());
+    assertEquals(
+        named, assertThrows(InvalidFieldException.class, () -> JobSpec.parse(body)).field());
   }
 
   @ParameterizedTest
   @CsvSource({"Rigs", "Depot", "CutoffS"})
-  void takesNullAndOmittedAlike(String field) throws InvalidField {
-    ObjectNode body = Samples.job("wk-1", "red", Priority.IDLE, 3, 2).toJson();
+  void takesNullAndOmittedAlike(String field) throws InvalidFieldException {
+    ObjectNode body = TestData.job("wk-1", "red", Priority.IDLE, 3, 2).toJson();
     body.remove(field);
     JobSpec omitted = JobSpec.parse(body);
     body.putNull(field);
@@ -44,8 +45,8 @@
   }
 
   @Test
-  void readsWhatItWrote() throws InvalidField {
-    JobSpec job = Samples.job("wk-000412", "red", Priority.CRITICAL, 100_000, 2.5);
+  void readsWhatItWrote() throws InvalidFieldException {
+    JobSpec job = TestData.job("wk-000412", "red", Priority.CRITICAL, 100_000, 2.5);
     assertEquals(job, JobSpec.parse(Json.parse(Json.bytes(job.toJson()))));
   }
 
