--- a/src/main/java/org/saffronshore/control/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/control/OpenJobWatcher.java
@@ -11,12 +11,11 @@
 import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
+import org.saffronshore.state.JobRecord;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.WatchResult;
 import org.saffronshore.wire.InvalidFieldException;
-import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -58,12 +57,8 @@
 
   private void add(String key, JsonNode record, long version, BitSet done, int launchMark) {
     try {
-      cluster.addJob(
-          JobSpec.parse(record.get("Spec")),
-          version,
-          Json.integer(record, "At", 0),
-          done,
-          launchMark);
+      JobRecord job = JobRecord.parse(record);
+      cluster.addJob(job.spec(), version, job.submittedMs(), done, launchMark);
     } catch (InvalidFieldException e) {
       LOG.error("the record {} cannot be read: {}", key, e.getMessage());
     }
--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -19,8 +19,12 @@
   /** The most entries of each kind; the oldest are dropped first and read again when needed. */
   private static final int CAPACITY = 20_000;
 
-  /** The record of an accepted job; it is written once and removed when the job ends. */
-  record JobRecord(long version, List<String> dependencies) {}
+  /**
+   * A job that was open when it was last read.
+   *
+   * @param version the version of its record, which is written once and removed when the job ends
+   */
+  record OpenJob(long version, List<String> dependencies) {}
 
   /**
    * A set of jobs with everything that they need, directly or through others.
@@ -31,7 +35,7 @@
    */
   record Closure(Set<String> open, List<String> unread, boolean cancelled) {}
 
-  private final Map<String, JobRecord> jobRecords = new BoundedMap<>();
+  private final Map<String, OpenJob> openJobs = new BoundedMap<>();
   private final Map<String, JobStatus> outcomes = new BoundedMap<>();
 
   private static final class BoundedMap<V> extends LinkedHashMap<String, V> {
@@ -53,22 +57,22 @@
     return outcomes.put(id, end) == null;
   }
 
-  /** The record of a job that was open when it was last read, or null. */
-  JobRecord record(String id) {
-    return jobRecords.get(id);
+  /** A job that was open when it was last read, or null when that is not known of it. */
+  OpenJob openJob(String id) {
+    return openJobs.get(id);
   }
 
-  void putRecord(String id, JobRecord jobRecord) {
-    jobRecords.put(id, jobRecord);
+  void putOpenJob(String id, OpenJob job) {
+    openJobs.put(id, job);
   }
 
-  void dropRecord(String id) {
-    jobRecords.remove(id);
+  void dropOpenJob(String id) {
+    openJobs.remove(id);
   }
 
   /** Whether the job is known to have been accepted. */
   boolean isAccepted(String id) {
-    return outcomes.containsKey(id) || jobRecords.containsKey(id);
+    return outcomes.containsKey(id) || openJobs.containsKey(id);
   }
 
   /** Follows the dependencies of some jobs as far as they are known. */
@@ -80,7 +84,7 @@
     while (!todo.isEmpty()) {
       String job = todo.poll();
       JobStatus end = outcomes.get(job);
-      JobRecord known = jobRecords.get(job);
+      OpenJob known = openJobs.get(job);
       if (end != null) {
         cancelled |= end == JobStatus.CANCELLED;
       } else if (known == null) {
--- a/src/main/java/org/saffronshore/state/JobReader.java
+++ b/src/main/java/org/saffronshore/state/JobReader.java
@@ -1,7 +1,6 @@
 package org.saffronshore.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -14,7 +13,6 @@
 import java.util.function.Consumer;
 import org.saffronshore.state.JobStore.JobOutcome;
 import org.saffronshore.state.JobStore.JobStatus;
-import org.saffronshore.wire.JobSpec;
 
 /**
  * Reads jobs from the state service into the cache. A few jobs are read one by one; of many, the
@@ -56,7 +54,7 @@
             keep(id, answer.value(), answer.version());
             then.accept(JobStatus.OPEN);
           } else if (answer.isMissing()) {
-            cache.dropRecord(id);
+            cache.dropOpenJob(id);
             readOutcome(id, end -> then.accept(end.status()));
           } else {
             then.accept(JobStatus.UNKNOWN);
@@ -65,12 +63,7 @@
   }
 
   private void keep(String id, JsonNode stored, long version) {
-    List<String> dependencies = new ArrayList<>();
-    stored
-        .path("Spec")
-        .path(JobSpec.DEPENDENCIES_FIELD)
-        .forEach(needed -> dependencies.add(needed.asText()));
-    cache.putRecord(id, new JobCache.JobRecord(version, List.copyOf(dependencies)));
+    cache.putOpenJob(id, new JobCache.OpenJob(version, JobRecord.parseDependencies(stored)));
   }
 
   /**
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -125,13 +125,13 @@
       then.accept(known);
     } else if (tries == 0) {
       then.accept(JobStatus.UNKNOWN);
-    } else if (cache.record(id) != null) {
+    } else if (cache.openJob(id) != null) {
       lookUpWithDependencies(id, tries, then);
     } else {
       reader.read(
           id,
           status -> {
-            if (status == JobStatus.OPEN && !cache.record(id).dependencies().isEmpty()) {
+            if (status == JobStatus.OPEN && !cache.openJob(id).dependencies().isEmpty()) {
               lookUpWithDependencies(id, tries, then);
             } else {
               then.accept(status);
@@ -189,7 +189,7 @@
       then.accept(JobStatus.OPEN);
       return;
     }
-    over.forEach(cache::dropRecord);
+    over.forEach(cache::dropOpenJob);
     reader.readOutcomes(over, ends -> lookUp(id, tries - 1, then));
   }
 
--- a/src/main/java/org/saffronshore/state/OpenJobChecker.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -94,7 +94,7 @@
     var next = waiting.entrySet().iterator();
     while (next.hasNext() && asked.size() < maxGuards) {
       Map.Entry<String, List<Question>> entry = next.next();
-      JobCache.JobRecord known = cache.record(entry.getKey());
+      JobCache.OpenJob known = cache.openJob(entry.getKey());
       // A job whose record was dropped meanwhile counts as not open: its end is looked for then.
       txn.expectVersion(Keys.openJob(entry.getKey()), known == null ? -1 : known.version());
       asked.put(entry.getKey(), entry.getValue());
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -84,9 +84,7 @@
    * not known.
    */
   void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> then) {
-    var stored = Json.object().put("At", submittedMs);
-    stored.set("Spec", job.toJson());
-    submit(new Submission(job, stored, then));
+    submit(new Submission(job, new JobRecord(submittedMs, job).toJson(), then));
   }
 
   private void submit(Submission submission) {
@@ -138,7 +136,7 @@
       String id = submission.job.id();
       txn.expectVersion(Keys.openJob(id), 0).expectVersion(Keys.jobOutcome(id), 0);
       submission.proven.forEach(
-          needed -> txn.expectVersion(Keys.openJob(needed), cache.record(needed).version()));
+          needed -> txn.expectVersion(Keys.openJob(needed), cache.openJob(needed).version()));
       txn.put(Keys.openJob(id), submission.stored);
     }
     committing = true;
@@ -191,7 +189,7 @@
 
   private void accepted(Submission submission, long version) {
     JobSpec job = submission.job;
-    cache.putRecord(job.id(), new JobCache.JobRecord(version, job.dependencies()));
+    cache.putOpenJob(job.id(), new JobCache.OpenJob(version, job.dependencies()));
     submission.then.accept(
         submission.complete ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED);
   }
@@ -220,7 +218,7 @@
         // A job that it needs has ended since that was read: its end is read, and the submission
         // tried again.
         explained = true;
-        submission.proven.stream().filter(failed::contains).forEach(cache::dropRecord);
+        submission.proven.stream().filter(failed::contains).forEach(cache::dropOpenJob);
         submit(submission);
       } else {
         unaffected.add(submission);
