--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -8,6 +8,7 @@
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.FieldReader;
@@ -77,7 +78,7 @@
   private void read(Responder reply) {
     state.get(
         Keys.OPERATOR_SETTINGS,
-        false,
+        RequestPriority.NORMAL,
         answer -> {
           if (answer.isMissing()) {
             reply.json(200, versioned(OperatorSettings.DEFAULTS.toJson(), 0));
@@ -115,7 +116,7 @@
         new Transaction()
             .expectVersion(Keys.OPERATOR_SETTINGS, version)
             .put(Keys.OPERATOR_SETTINGS, settings.toJson()),
-        false,
+        RequestPriority.NORMAL,
         answer -> {
           if (answer.isCommitted()) {
             reply.json(200, versioned(settings.toJson(), answer.revision()));
--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -12,6 +12,7 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Response;
 import org.saffronshore.state.RateLimiter;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.wire.Json;
 
 /** The cloud as the controllers use it. A node that does not lead asks for machine types only. */
@@ -39,7 +40,7 @@
 
   private void send(
       String method, String path, JsonNode body, boolean vital, Response.Callback then) {
-    if (!budget.tryAcquire(1, vital)) {
+    if (!budget.tryAcquire(1, vital ? RequestPriority.VITAL : RequestPriority.NORMAL)) {
       loop.execute(() -> then.onResponse(new Response(429, new byte[0])));
       return;
     }
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -20,6 +20,7 @@
 import org.saffronshore.peer.JobProgress;
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.InvalidFieldException;
@@ -276,7 +277,7 @@
 
   private void probeState() {
     if (loop.now() - state.lastResponseAt() > settings.heartbeatIntervalS() / 3) {
-      state.get(Keys.TERM, true, answer -> {});
+      state.get(Keys.TERM, RequestPriority.VITAL, answer -> {});
     }
   }
 
--- a/src/main/java/org/saffronshore/control/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/control/DependencyResolver.java
@@ -7,9 +7,9 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.http.EventLoop;
+import org.saffronshore.state.JobOutcome;
+import org.saffronshore.state.JobStatus;
 import org.saffronshore.state.JobStore;
-import org.saffronshore.state.JobStore.JobOutcome;
-import org.saffronshore.state.JobStore.JobStatus;
 
 /**
  * Works out the difference between what one term knows of jobs that others need, and what the state
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -18,6 +18,8 @@
 import org.saffronshore.peer.JobProgress;
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat;
@@ -139,15 +141,16 @@
             Keys.MACHINE_REGISTRY,
             Keys.LAUNCH_WATERMARKS,
             Keys.OPEN_JOBS),
-        read -> {
+        listings -> {
           if (term.hasEnded()) {
             return;
           }
-          if (read == null) {
+          if (listings.isEmpty()) {
             loop.schedule(settings.heartbeatIntervalS() / 10, this::load);
             return;
           }
-          StateClient.Listing jobs = read.get(Keys.OPEN_JOBS);
+          Map<String, Listing> read = listings.get();
+          Listing jobs = read.get(Keys.OPEN_JOBS);
           Map<String, BitSet> done = termStore.readFinishedTasks(read.get(Keys.FINISHED_TASKS));
           termStore.readFinishedTasksInShortChunks(
               read.get(Keys.FINISHED_TASKS_SHORT_CHUNKS), done);
@@ -174,7 +177,7 @@
   }
 
   /** At which revision each prefix was read, by its name. */
-  private static Map<String, Long> revisions(Map<String, StateClient.Listing> read) {
+  private static Map<String, Long> revisions(Map<String, Listing> read) {
     Map<String, Long> revisions = new TreeMap<>();
     read.forEach((prefix, listing) -> revisions.put(prefix, listing.revision()));
     return revisions;
@@ -230,7 +233,7 @@
   private void readOperator() {
     state.get(
         Keys.OPERATOR_SETTINGS,
-        true,
+        RequestPriority.VITAL,
         answer -> {
           try {
             if (answer.isFound()) {
--- a/src/main/java/org/saffronshore/control/MachineTypeCache.java
+++ b/src/main/java/org/saffronshore/control/MachineTypeCache.java
@@ -8,6 +8,7 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.InvalidFieldException;
@@ -56,7 +57,7 @@
   private void readPersisted() {
     state.get(
         Keys.MACHINE_TYPES,
-        true,
+        RequestPriority.VITAL,
         answer -> {
           if (answer.isFound()) {
             persisted = parsed(answer.value());
@@ -116,7 +117,7 @@
         new Transaction()
             .expectVersion(Keys.LEADER, leadership.leaderKeyVersion())
             .put(Keys.MACHINE_TYPES, cloudResponse),
-        false,
+        RequestPriority.NORMAL,
         answer -> {
           if (answer.isCommitted()) {
             persisted = keeping;
--- a/src/main/java/org/saffronshore/control/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/control/OpenJobWatcher.java
@@ -13,7 +13,10 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.JobRecord;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
+import org.saffronshore.state.StoredEntry;
 import org.saffronshore.state.WatchResult;
 import org.saffronshore.wire.InvalidFieldException;
 import org.slf4j.Logger;
@@ -38,8 +41,8 @@
   }
 
   /** Takes the jobs that were open when the term began, and follows what becomes of them. */
-  void begin(StateClient.Listing jobs, Map<String, BitSet> done, Map<String, Integer> launchMark) {
-    for (StateClient.Entry e : jobs.entries()) {
+  void begin(Listing jobs, Map<String, BitSet> done, Map<String, Integer> launchMark) {
+    for (StoredEntry e : jobs.entries()) {
       String id = Keys.idOf(e.key());
       add(
           e.key(),
@@ -110,17 +113,18 @@
     double askedAt = loop.now();
     state.list(
         Keys.OPEN_JOBS,
-        true,
-        jobs -> {
+        RequestPriority.VITAL,
+        listing -> {
           if (leader.term().hasEnded()) {
             return;
           }
-          if (jobs == null) {
+          if (listing.isEmpty()) {
             loop.schedule(settings.heartbeatIntervalS() / 10, this::relist);
             return;
           }
+          Listing jobs = listing.get();
           Set<String> open = new HashSet<>();
-          for (StateClient.Entry e : jobs.entries()) {
+          for (StoredEntry e : jobs.entries()) {
             open.add(Keys.idOf(e.key()));
             addNew(e.key(), e.value(), e.version());
           }
--- a/src/main/java/org/saffronshore/control/PagedRecords.java
+++ b/src/main/java/org/saffronshore/control/PagedRecords.java
@@ -11,7 +11,9 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
+import org.saffronshore.state.StoredEntry;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.Json;
 
@@ -66,8 +68,8 @@
     this.maxBytes = maxBytes;
   }
 
-  void read(List<StateClient.Entry> stored, BiConsumer<String, JsonNode> each) {
-    for (StateClient.Entry e : stored) {
+  void read(List<StoredEntry> stored, BiConsumer<String, JsonNode> each) {
+    for (StoredEntry e : stored) {
       int number;
       try {
         number = Integer.parseInt(e.key().substring(prefix.length()));
@@ -255,7 +257,7 @@
       page.asking = true;
       state.get(
           page.key,
-          true,
+          RequestPriority.VITAL,
           answer -> {
             page.asking = false;
             if (!answer.isUnknown()) {
--- a/src/main/java/org/saffronshore/control/TermStore.java
+++ b/src/main/java/org/saffronshore/control/TermStore.java
@@ -24,8 +24,12 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.JobOutcome;
+import org.saffronshore.state.JobStatus;
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.InvalidFieldException;
@@ -119,14 +123,14 @@
   // What earlier terms wrote
 
   /** The finished tasks of each job. */
-  Map<String, BitSet> readFinishedTasks(StateClient.Listing stored) {
+  Map<String, BitSet> readFinishedTasks(Listing stored) {
     Map<String, BitSet> done = new HashMap<>();
     progress.read(stored.entries(), (name, value) -> finished(done, name, value, PIECE));
     return done;
   }
 
   /** The same of jobs that have shorter pieces. */
-  void readFinishedTasksInShortChunks(StateClient.Listing stored, Map<String, BitSet> done) {
+  void readFinishedTasksInShortChunks(Listing stored, Map<String, BitSet> done) {
     shortProgress.read(
         stored.entries(),
         (name, value) ->
@@ -148,7 +152,7 @@
   }
 
   /** How far each job's tasks may have been launched. */
-  Map<String, Integer> readLaunchWatermarks(StateClient.Listing stored) {
+  Map<String, Integer> readLaunchWatermarks(Listing stored) {
     Map<String, Integer> all = new HashMap<>();
     launchMark.read(
         stored.entries(), (job, value) -> all.merge(job, launchMark(job, value), Math::max));
@@ -168,7 +172,7 @@
    * Tells the cluster of all machines that may hold tasks, and forgets the progress of jobs that
    * are over.
    */
-  void begin(StateClient.Listing storedRegistry) {
+  void begin(Listing storedRegistry) {
     Set<String> seen = new HashSet<>();
     registry.read(
         storedRegistry.entries(),
@@ -262,12 +266,11 @@
   private void saveCompletedJobs(Job job) {
     String id = job.spec().id();
     long endedMs = loop.wallClockMs();
-    Transaction txn =
-        JobStore.addOutcome(guarded(), id, job.version(), JobStore.JobStatus.DONE, endedMs);
+    Transaction txn = new JobOutcome(JobStatus.DONE, endedMs).addTo(guarded(), id, job.version());
     job.outcomeWriteInFlight(true);
     state.commit(
         txn,
-        true,
+        RequestPriority.VITAL,
         answer -> {
           job.outcomeWriteInFlight(false);
           if (leader.term().hasEnded()) {
@@ -275,7 +278,7 @@
           }
           if (answer.isCommitted()) {
             LOG.debug("job {} is done", id);
-            store.recordOutcome(id, JobStore.JobStatus.DONE);
+            store.recordOutcome(id, JobStatus.DONE);
             cluster.jobEnded(id, true, endedMs);
             leader.removeJob(id);
             leader.runDueWork();
@@ -294,17 +297,16 @@
   void saveCancelled(Job job, Runnable then) {
     String id = job.spec().id();
     Transaction txn =
-        JobStore.addOutcome(
-            guarded(), id, job.version(), JobStore.JobStatus.CANCELLED, loop.wallClockMs());
+        new JobOutcome(JobStatus.CANCELLED, loop.wallClockMs()).addTo(guarded(), id, job.version());
     state.commit(
         txn,
-        false,
+        RequestPriority.NORMAL,
         answer -> {
           if (leader.term().hasEnded()) {
             return;
           }
           if (answer.isCommitted()) {
-            store.recordOutcome(id, JobStore.JobStatus.CANCELLED);
+            store.recordOutcome(id, JobStatus.CANCELLED);
           } else if (answer.isConflict()) {
             stillLeading(answer);
           }
@@ -357,7 +359,7 @@
   private void write(Transaction txn, PagedRecords.Batch batch, Consumer<Boolean> then) {
     state.commit(
         txn,
-        true,
+        RequestPriority.VITAL,
         answer -> {
           boolean written = batch.written(state, answer);
           if (leader.term().hasEnded()) {
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -7,6 +7,7 @@
 import org.saffronshore.state.GetResult;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.LeaderRecord;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.state.WatchResult;
@@ -188,7 +189,7 @@
     }
     state.get(
         Keys.LEADER,
-        true,
+        RequestPriority.VITAL,
         answer -> {
           if (answer.isFound()) {
             leaderFound(answer);
@@ -248,7 +249,7 @@
     campaigning = true;
     state.get(
         Keys.TERM,
-        true,
+        RequestPriority.VITAL,
         read -> {
           if (read.isUnknown()) {
             abandonCampaign(0);
@@ -384,7 +385,7 @@
             .put(Keys.TERM, claimed.toJson());
     state.commit(
         txn,
-        true,
+        RequestPriority.VITAL,
         result -> {
           if (!result.isCommitted()) {
             // A claim whose answer was lost may still be carried out, while the lease lives.
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -6,8 +6,10 @@
 import java.util.function.Predicate;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
+import org.saffronshore.state.Vote;
 import org.saffronshore.state.VoteRequest;
 
 /**
@@ -51,7 +53,7 @@
       long term, Granter granter, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
     state.get(
         Keys.VOTE_REQUEST,
-        true,
+        RequestPriority.VITAL,
         key -> {
           if (key.isUnknown()) {
             then.accept(Set.of());
@@ -86,8 +88,8 @@
     Transaction txn =
         new Transaction()
             .expectVersion(Keys.VOTE_REQUEST, version)
-            .put(Keys.vote(node), other.toVote());
-    state.commit(txn, true, result -> then.run());
+            .put(Keys.vote(node), other.toVote().toJson());
+    state.commit(txn, RequestPriority.VITAL, result -> then.run());
   }
 
   private void request(
@@ -99,7 +101,7 @@
             .put(Keys.VOTE_REQUEST, request.toJson());
     state.commit(
         txn,
-        true,
+        RequestPriority.VITAL,
         result -> {
           if (result.isCommitted()) {
             loop.schedule(roundS / LOOKS, () -> readVotes(request, 1, enough, then));
@@ -113,12 +115,12 @@
       VoteRequest request, int looks, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
     state.list(
         Keys.VOTES,
-        true,
+        RequestPriority.VITAL,
         votes -> {
           Set<String> granted = new HashSet<>();
-          if (votes != null) {
-            votes.entries().stream()
-                .filter(entry -> request.isVotedForBy(entry.value()))
+          if (votes.isPresent()) {
+            votes.get().entries().stream()
+                .filter(entry -> Vote.parse(entry.value()).equals(request.toVote()))
                 .forEach(entry -> granted.add(entry.key().substring(Keys.VOTES.length())));
           }
           if (enough.test(granted) || looks >= LOOKS) {
--- a/src/main/java/org/saffronshore/state/CancellationLog.java
+++ b/src/main/java/org/saffronshore/state/CancellationLog.java
@@ -6,24 +6,30 @@
 
 /**
  * The cancellations that this process committed or read, the latest last, for as long as a
- * cancellation may take. Controllers report them to the leader, which may be unable to read them
- * from the state service itself.
+ * cancellation may take. Controllers send them to the leader, which may be unable to read them from
+ * the state service itself.
  */
 final class CancellationLog {
+  /** The most cancellations that are kept. */
   private static final int CAPACITY = 500;
 
   private record Entry(String job, double learnedAt) {}
 
   private final EventLoop loop;
-  private final double keptForS;
+  private final double retentionS;
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
 
   /** No cancellation learned since then has been dropped. */
   private double completeSince;
 
-  CancellationLog(EventLoop loop, double keptForS) {
+  /**
+   * Starts empty.
+   *
+   * @param retentionS for how many seconds a cancellation is kept
+   */
+  CancellationLog(EventLoop loop, double retentionS) {
     this.loop = loop;
-    this.keptForS = keptForS;
+    this.retentionS = retentionS;
     this.completeSince = loop.now();
   }
 
@@ -31,6 +37,7 @@
     entries.add(new Entry(job, loop.now()));
   }
 
+  /** The jobs whose cancellations are kept. */
   List<String> recent() {
     dropOld();
     return entries.stream().map(Entry::job).toList();
@@ -43,9 +50,12 @@
   }
 
   private void dropOld() {
-    while (!entries.isEmpty()
-        && (entries.size() > CAPACITY || entries.peek().learnedAt < loop.now() - keptForS)) {
-      completeSince = entries.poll().learnedAt;
+    double keptSince = loop.now() - retentionS;
+    Entry oldest = entries.peek();
+    while (oldest != null && (entries.size() > CAPACITY || oldest.learnedAt < keptSince)) {
+      completeSince = oldest.learnedAt;
+      entries.remove();
+      oldest = entries.peek();
     }
   }
 }
--- a/src/main/java/org/saffronshore/state/CommitResult.java
+++ b/src/main/java/org/saffronshore/state/CommitResult.java
@@ -8,42 +8,48 @@
 import org.saffronshore.wire.Json;
 
 /**
- * What became of a transaction.
+ * The result of a transaction.
  *
  * @param revision the version of every key that it changed; 0 unless it was committed
- * @param conflictingKeys keys whose guards failed, as far as the state service names them
+ * @param conflictingKeys keys whose conditions did not hold, as far as the state service names them
  */
 public record CommitResult(Outcome outcome, long revision, Set<String> conflictingKeys) {
 
-  /**
-   * REFUSED: a guard failed. MALFORMED: the state service will never take it. OVERLOADED: it was
-   * not sent, or refused for the rate. UNKNOWN: it may have been carried out, or may yet be.
-   */
+  /** Whether the transaction was committed. */
   public enum Outcome {
     COMMITTED,
+
+    /** A condition did not hold. */
     CONFLICT,
+
+    /** The state service will never commit it as it is. */
     MALFORMED,
+
+    /** It was not sent, or was refused, for the rate. */
     OVERLOADED,
+
+    /** It may have been committed, or may yet be. */
     UNKNOWN
   }
 
-  static CommitResult of(Response answer) {
-    JsonNode body = answer.json();
-    if (answer.ok() && body != null) {
-      return new CommitResult(Outcome.COMMITTED, Json.integer(body, "Ledger", 0), Set.of());
+  static CommitResult parse(Response response) {
+    JsonNode body = response.json();
+    if (response.ok() && body != null) {
+      return new CommitResult(
+          Outcome.COMMITTED, Json.integer(body, ProtocolFields.REVISION, 0), Set.of());
     }
     Outcome outcome =
-        switch (answer.status()) {
+        switch (response.status()) {
           case 409 -> Outcome.CONFLICT;
           case 400 -> Outcome.MALFORMED;
           case 429 -> Outcome.OVERLOADED;
           default -> Outcome.UNKNOWN;
         };
-    Set<String> failed = new HashSet<>();
+    Set<String> conflictingKeys = new HashSet<>();
     if (outcome == Outcome.CONFLICT && body != null) {
-      body.path("failed").forEach(key -> failed.add(key.asText()));
+      body.path(ProtocolFields.CONFLICTING_KEYS).forEach(key -> conflictingKeys.add(key.asText()));
     }
-    return new CommitResult(outcome, 0, failed);
+    return new CommitResult(outcome, 0, conflictingKeys);
   }
 
   public boolean isCommitted() {
@@ -54,7 +60,7 @@
     return outcome == Outcome.CONFLICT;
   }
 
-  /** The jobs whose keys failed a guard. */
+  /** The jobs that the conflicting keys belong to. */
   Set<String> conflictingJobs() {
     return conflictingKeys.stream().map(Keys::idOf).collect(Collectors.toSet());
   }
--- a/src/main/java/org/saffronshore/state/GetResult.java
+++ b/src/main/java/org/saffronshore/state/GetResult.java
@@ -1,35 +1,52 @@
 package org.saffronshore.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
- * What the state service says of one key.
+ * The result of reading one key.
  *
- * @param value null unless the key was found
+ * @param value the stored form; null unless the key was found
  * @param version the revision of the key's last change; 0 unless it was found
  * @param leaseId the lease that the key is attached to; 0 for none
  */
-public record GetResult(Presence presence, JsonNode value, long version, long leaseId) {
+public record GetResult(Presence presence, @Nullable JsonNode value, long version, long leaseId) {
 
-  /** Whether the key exists; UNKNOWN when the state service did not tell. */
+  /** Whether the key exists. */
   public enum Presence {
     FOUND,
     MISSING,
+
+    /** The state service did not say. */
     UNKNOWN
   }
 
-  static GetResult of(Response answer) {
-    JsonNode body = answer.ok() ? answer.json() : null;
-    if (body != null && body.has("Data")) {
+  static GetResult parse(Response response) {
+    JsonNode body = response.ok() ? response.json() : null;
+    if (body != null && body.has(ProtocolFields.VALUE)) {
       return new GetResult(
           Presence.FOUND,
-          body.get("Data"),
-          Json.integer(body, "Stamp", 0),
-          Json.integer(body, "Permit", 0));
+          body.get(ProtocolFields.VALUE),
+          Json.integer(body, ProtocolFields.VERSION, 0),
+          Json.integer(body, ProtocolFields.LEASE, 0));
+    }
+    Presence presence = response.status() == 404 ? Presence.MISSING : Presence.UNKNOWN;
+    return new GetResult(presence, null, 0, 0);
+  }
+
+  /**
+   * The stored form of a key that was found.
+   *
+   * @throws IllegalStateException when the key was not found
+   */
+  @Override
+  public JsonNode value() {
+    if (value == null) {
+      throw new IllegalStateException("a key that was not found has no value");
     }
-    return new GetResult(answer.status() == 404 ? Presence.MISSING : Presence.UNKNOWN, null, 0, 0);
+    return value;
   }
 
   public boolean isFound() {
--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -8,14 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.state.JobStore.JobStatus;
+import org.jspecify.annotations.Nullable;
 
 /**
- * What one controller remembers of jobs. Only facts that never change are kept: how a job ended,
- * and which version an accepted job's record has and which jobs it needs. Whether a job is still
- * open changes, and is never answered from here.
+ * What one controller has read of jobs. Only facts that never change are kept: a job's outcome, and
+ * the version of an accepted job's record and the jobs it depends on. Whether a job is still open
+ * changes, and is never answered from here.
  */
 final class JobCache {
+  /** A version that no key has: a condition on it never holds. */
+  static final long NO_VERSION = -1;
+
   /** The most entries of each kind; the oldest are dropped first and read again when needed. */
   private static final int CAPACITY = 20_000;
 
@@ -27,9 +30,9 @@
   record OpenJob(long version, List<String> dependencies) {}
 
   /**
-   * A set of jobs with everything that they need, directly or through others.
+   * A set of jobs with everything that they depend on, directly or through others.
    *
-   * @param open jobs that have not ended as far as is known
+   * @param open jobs that have no known outcome
    * @param unread jobs of which nothing is known
    * @param cancelled whether one of them is known to be cancelled
    */
@@ -48,18 +51,30 @@
   }
 
   /** How a job ended, or null when that is not known. */
-  JobStatus outcome(String id) {
+  @Nullable JobStatus outcome(String id) {
     return outcomes.get(id);
   }
 
-  /** Remembers how a job ended; false when it was known already. */
-  boolean putOutcome(String id, JobStatus end) {
-    return outcomes.put(id, end) == null;
+  /** Keeps how a job ended; false when that was known already. */
+  boolean putOutcome(String id, JobStatus outcome) {
+    return outcomes.put(id, outcome) == null;
+  }
+
+  /** Whether the job was open when it was last read. */
+  boolean wasOpen(String id) {
+    return openJobs.containsKey(id);
+  }
+
+  /** Whether the job was open when it was last read, and depends on others. */
+  boolean hasDependencies(String id) {
+    OpenJob job = openJobs.get(id);
+    return job != null && !job.dependencies().isEmpty();
   }
 
-  /** A job that was open when it was last read, or null when that is not known of it. */
-  OpenJob openJob(String id) {
-    return openJobs.get(id);
+  /** The version of an open job's record; {@link #NO_VERSION} when it is not known. */
+  long version(String id) {
+    OpenJob job = openJobs.get(id);
+    return job == null ? NO_VERSION : job.version();
   }
 
   void putOpenJob(String id, OpenJob job) {
@@ -80,17 +95,17 @@
     Set<String> open = new LinkedHashSet<>();
     Set<String> unread = new LinkedHashSet<>();
     boolean cancelled = false;
-    ArrayDeque<String> todo = new ArrayDeque<>(jobs);
-    while (!todo.isEmpty()) {
-      String job = todo.poll();
-      JobStatus end = outcomes.get(job);
-      OpenJob known = openJobs.get(job);
-      if (end != null) {
-        cancelled |= end == JobStatus.CANCELLED;
-      } else if (known == null) {
-        unread.add(job);
-      } else if (open.add(job)) {
-        todo.addAll(known.dependencies());
+    ArrayDeque<String> remaining = new ArrayDeque<>(jobs);
+    while (!remaining.isEmpty()) {
+      String id = remaining.poll();
+      JobStatus outcome = outcomes.get(id);
+      OpenJob job = openJobs.get(id);
+      if (outcome != null) {
+        cancelled |= outcome == JobStatus.CANCELLED;
+      } else if (job == null) {
+        unread.add(id);
+      } else if (open.add(id)) {
+        remaining.addAll(job.dependencies());
       }
     }
     return new Closure(open, new ArrayList<>(unread), cancelled);
--- /dev/null
+++ b/src/main/java/org/saffronshore/state/JobStatus.java
@@ -0,0 +1,17 @@
+package org.saffronshore.state;
+
+/** What a controller knows of a job. */
+public enum JobStatus {
+  /** The state service did not say. */
+  UNKNOWN,
+
+  /** It was never accepted. */
+  NOT_FOUND,
+
+  /** It was accepted and has no outcome. */
+  OPEN,
+
+  DONE,
+
+  CANCELLED
+}
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -2,24 +2,35 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.Json;
 
 /**
- * Who leads, or led last: the value of the leader's key and of the term's key.
+ * Who leads, or led last: the value of {@link Keys#LEADER} and of {@link Keys#TERM}.
  *
- * @param node null when it is not known
- * @param incarnation distinguishes the process from earlier ones of the same node
+ * @param node the controller's name; null when it is not known
+ * @param incarnation distinguishes the process from earlier ones of the same controller; null when
+ *     it is not known
+ * @param term the number of the term; -1 when it is not known
  */
-public record LeaderRecord(String node, String incarnation, long term) {
+public record LeaderRecord(@Nullable String node, @Nullable String incarnation, long term) {
+  private static final String NODE_FIELD = "Node";
+  private static final String INCARNATION_FIELD = "Life";
+  private static final String TERM_FIELD = "Term";
 
-  /** Reads a stored value; what is missing is null, and the term -1. */
+  /** Reads a stored value; what is missing in it is not known. */
   public static LeaderRecord parse(JsonNode stored) {
     return new LeaderRecord(
-        Json.text(stored, "Node"), Json.text(stored, "Life"), Json.integer(stored, "Term", -1));
+        Json.text(stored, NODE_FIELD),
+        Json.text(stored, INCARNATION_FIELD),
+        Json.integer(stored, TERM_FIELD, -1));
   }
 
   /** The stored form. */
   public ObjectNode toJson() {
-    return Json.object().put("Node", node).put("Life", incarnation).put("Term", term);
+    return Json.object()
+        .put(NODE_FIELD, node)
+        .put(INCARNATION_FIELD, incarnation)
+        .put(TERM_FIELD, term);
   }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/state/Listing.java
@@ -0,0 +1,10 @@
+package org.saffronshore.state;
+
+import java.util.List;
+
+/**
+ * All keys under a prefix, in their order.
+ *
+ * @param revision the revision from which a watch on the prefix continues
+ */
+public record Listing(List<StoredEntry> entries, long revision) {}
--- a/src/main/java/org/saffronshore/state/OpenJobChecker.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -5,47 +5,52 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 
 /**
- * Asks the state service whether jobs are still open: with transactions that only compare, each for
- * as many jobs as one may have guards. A question goes out at once when it is the first for a
- * while; those that come in quick succession share the next request, or a burst of polls would
- * spend this controller's share of the request rate.
+ * Checks whether jobs are still open, with transactions that have conditions and no writes, each
+ * for as many jobs as a transaction may have conditions. The first check in a while is sent at
+ * once; those that come in quick succession share the next request, since a burst of polls would
+ * otherwise use up this controller's share of the request rate.
  */
 final class OpenJobChecker {
-  /** Requests of this kind may take this part of the controller's share of the request rate. */
+  /** Checks may take this part of the controller's share of the request rate. */
   private static final double RATE_PART = 0.5;
 
-  private static final class Question {
-    final Consumer<Set<String>> then;
-    final Set<String> ended = new HashSet<>();
-    int unanswered;
+  /** A check of some jobs that waits for the results of all of them. */
+  private static final class Check {
+    private final Consumer<Optional<Set<String>>> callback;
+    private final Set<String> ended = new HashSet<>();
 
-    Question(int jobs, Consumer<Set<String>> then) {
-      this.unanswered = jobs;
-      this.then = then;
+    /** How many jobs have no result yet; 0 once the check is over. */
+    private int remaining;
+
+    Check(int jobs, Consumer<Optional<Set<String>>> callback) {
+      this.remaining = jobs;
+      this.callback = callback;
     }
 
     void fail() {
-      if (unanswered > 0) {
-        unanswered = 0;
-        then.accept(null);
+      if (remaining > 0) {
+        remaining = 0;
+        callback.accept(Optional.empty());
       }
     }
 
-    void answer(String job, boolean open) {
-      if (unanswered == 0) {
+    void add(String job, boolean open) {
+      if (remaining == 0) {
         return;
       }
       if (!open) {
         ended.add(job);
       }
-      if (--unanswered == 0) {
-        then.accept(ended);
+      remaining--;
+      if (remaining == 0) {
+        callback.accept(Optional.of(ended));
       }
     }
   }
@@ -53,78 +58,94 @@
   private final EventLoop loop;
   private final StateClient state;
   private final JobCache cache;
-  private final int maxGuards;
-  private final Map<String, List<Question>> waiting = new LinkedHashMap<>();
+  private final int maxConditions;
+
+  /** Jobs to check, each with the checks that wait for it. */
+  private final Map<String, List<Check>> pending = new LinkedHashMap<>();
+
+  /** Whether a request is under way or scheduled. */
   private boolean busy;
-  private double nextAt = Double.NEGATIVE_INFINITY;
+
+  private double nextRequestAt = Double.NEGATIVE_INFINITY;
 
   OpenJobChecker(EventLoop loop, StateClient state, JobCache cache, Settings settings) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.maxGuards = Transaction.maxConditions(settings);
+    this.maxConditions = Transaction.maxConditions(settings);
   }
 
   /**
-   * Tells which of the jobs are not open any more: none when all are; null when the state service
-   * did not tell.
+   * Finds the jobs that are not open any more.
+   *
+   * @param callback gets their ids, none when all jobs are open; empty when the state service did
+   *     not say
    */
-  void findEnded(Set<String> jobs, Consumer<Set<String>> then) {
-    Question question = new Question(jobs.size(), then);
-    jobs.forEach(job -> waiting.computeIfAbsent(job, j -> new ArrayList<>(1)).add(question));
+  void findEnded(Set<String> jobs, Consumer<Optional<Set<String>>> callback) {
+    Check check = new Check(jobs.size(), callback);
+    jobs.forEach(job -> checksOf(job).add(check));
     sendNext();
   }
 
+  private List<Check> checksOf(String job) {
+    return pending.computeIfAbsent(job, id -> new ArrayList<>(1));
+  }
+
   private void sendNext() {
-    if (busy || waiting.isEmpty()) {
+    if (busy || pending.isEmpty()) {
       return;
     }
     busy = true;
-    double pauseS = nextAt - loop.now();
-    if (pauseS > 0) {
-      loop.schedule(pauseS, this::send);
+    double delayS = nextRequestAt - loop.now();
+    if (delayS > 0) {
+      loop.schedule(delayS, this::send);
     } else {
       send();
     }
   }
 
   private void send() {
-    Map<String, List<Question>> asked = new LinkedHashMap<>();
-    Transaction txn = new Transaction();
-    var next = waiting.entrySet().iterator();
-    while (next.hasNext() && asked.size() < maxGuards) {
-      Map.Entry<String, List<Question>> entry = next.next();
-      JobCache.OpenJob known = cache.openJob(entry.getKey());
-      // A job whose record was dropped meanwhile counts as not open: its end is looked for then.
-      txn.expectVersion(Keys.openJob(entry.getKey()), known == null ? -1 : known.version());
-      asked.put(entry.getKey(), entry.getValue());
-      next.remove();
-    }
-    nextAt = loop.now() + 1 / (RATE_PART * state.requestShare());
+    Map<String, List<Check>> sent = takePending();
+    Transaction transaction = new Transaction();
+    // A job that was dropped from the cache meanwhile counts as ended: its outcome is read then.
+    sent.keySet().forEach(job -> transaction.expectVersion(Keys.openJob(job), cache.version(job)));
+    nextRequestAt = loop.now() + 1 / (RATE_PART * state.requestShare());
     state.commit(
-        txn,
-        false,
+        transaction,
+        RequestPriority.NORMAL,
         result -> {
           busy = false;
-          answered(asked, result);
+          handleResult(sent, result);
           sendNext();
         });
   }
 
-  private void answered(Map<String, List<Question>> asked, CommitResult result) {
-    Set<String> failed = result.conflictingJobs();
-    asked.forEach(
-        (job, questions) -> {
+  private Map<String, List<Check>> takePending() {
+    Map<String, List<Check>> taken = new LinkedHashMap<>();
+    var entries = pending.entrySet().iterator();
+    while (entries.hasNext() && taken.size() < maxConditions) {
+      Map.Entry<String, List<Check>> entry = entries.next();
+      taken.put(entry.getKey(), entry.getValue());
+      entries.remove();
+    }
+    return taken;
+  }
+
+  private void handleResult(Map<String, List<Check>> sent, CommitResult result) {
+    Set<String> ended = result.conflictingJobs();
+    sent.forEach(
+        (job, checks) -> {
           if (result.isCommitted()) {
-            questions.forEach(question -> question.answer(job, true));
-          } else if (failed.isEmpty()) {
-            questions.forEach(Question::fail);
-          } else if (failed.contains(job)) {
-            questions.forEach(question -> question.answer(job, false));
+            checks.forEach(check -> check.add(job, true));
+          } else if (ended.isEmpty()) {
+            checks.forEach(Check::fail);
+          } else if (ended.contains(job)) {
+            checks.forEach(check -> check.add(job, false));
           } else {
-            // Nothing says that a refusal names every guard that failed.
-            waiting.computeIfAbsent(job, j -> new ArrayList<>(1)).addAll(questions);
-            nextAt = Double.NEGATIVE_INFINITY;
+            // The protocol does not say that a conflict names every key: the others are checked
+            // again, and at once.
+            checksOf(job).addAll(checks);
+            nextRequestAt = Double.NEGATIVE_INFINITY;
           }
         });
   }
--- a/src/main/java/org/saffronshore/state/RateLimiter.java
+++ b/src/main/java/org/saffronshore/state/RateLimiter.java
@@ -3,65 +3,69 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * This node's share of a rate that the service's nodes have in common. A part of the burst is kept
- * for what the service cannot do without, such as renewing the leader's lease.
+ * A token bucket: this controller's share of a rate that all controllers have in common. A reserve
+ * of the burst is kept for vital requests, such as renewals of the leader's lease.
  */
 public final class RateLimiter {
-  /** Users' requests leave this share of the burst alone. */
+  /** The share of the burst that only vital requests may use. */
   private static final double RESERVED = 0.2;
 
   private final EventLoop loop;
   private final double burstS;
   private double perSecond;
-  private double level;
-  private double at;
+  private double tokens;
+  private double refilledAt;
 
   /**
-   * @param burstS how many seconds' worth may be spent at once after a quiet time
+   * Starts with a full bucket.
+   *
+   * @param perSecond the rate at which the bucket fills
+   * @param burstS how many seconds' worth of the rate the bucket holds
    */
   public RateLimiter(EventLoop loop, double perSecond, double burstS) {
     this.loop = loop;
     this.burstS = burstS;
     this.perSecond = perSecond;
-    this.level = burst();
-    this.at = loop.now();
+    this.tokens = burst();
+    this.refilledAt = loop.now();
   }
 
   private double burst() {
     return Math.max(1, perSecond * burstS);
   }
 
-  private void fill() {
+  private void refill() {
     double now = loop.now();
-    level = Math.min(burst(), level + (now - at) * perSecond);
-    at = now;
+    tokens = Math.min(burst(), tokens + (now - refilledAt) * perSecond);
+    refilledAt = now;
   }
 
-  /** Changes the share of this node; what it has saved up stays. */
+  /** Changes the rate; tokens that are in the bucket stay. */
   public void setRate(double newPerSecond) {
-    fill();
+    refill();
     perSecond = newPerSecond;
   }
 
-  /** The share of this node. */
+  /** The rate, per second. */
   public double ratePerSecond() {
     return perSecond;
   }
 
-  /** How much a request of users may take now. */
+  /** How many tokens normal requests may take now; negative when only the reserve is left. */
   public double available() {
-    fill();
-    return level - RESERVED * burst();
+    refill();
+    return tokens - RESERVED * burst();
   }
 
-  /** Spends some of the share; false when that is not there. Vital requests may use the reserve. */
-  public boolean tryAcquire(double amount, boolean vital) {
-    fill();
-    double floor = vital ? 0 : Math.min(burst() * RESERVED, burst() - amount);
-    if (level - amount < floor) {
+  /** Takes tokens for a request; false, and none are taken, when there are too few. */
+  public boolean tryAcquire(double amount, RequestPriority priority) {
+    refill();
+    double reserve =
+        priority == RequestPriority.VITAL ? 0 : Math.min(burst() * RESERVED, burst() - amount);
+    if (tokens - amount < reserve) {
       return false;
     }
-    level -= amount;
+    tokens -= amount;
     return true;
   }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/state/SubmissionBatch.java
@@ -0,0 +1,53 @@
+package org.saffronshore.state;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Submissions that share a transaction, within the limits of what the state service takes. */
+final class SubmissionBatch {
+  /**
+   * The most bytes of job records. A transaction may be 64 KiB long; this leaves room for its
+   * conditions.
+   */
+  private static final int MAX_BYTES = 40 * 1024;
+
+  private final int maxSubmissions;
+  private final int maxConditions;
+  private final List<Submission> submissions = new ArrayList<>();
+  private final Set<String> ids = new HashSet<>();
+  private int bytes;
+  private int conditions;
+
+  SubmissionBatch(int maxSubmissions, int maxConditions) {
+    this.maxSubmissions = maxSubmissions;
+    this.maxConditions = maxConditions;
+  }
+
+  boolean isFull() {
+    return submissions.size() >= maxSubmissions
+        || submissions.stream().anyMatch(Submission::needsOwnTransaction);
+  }
+
+  /** Whether a submission may be added; the first one always may. */
+  boolean hasRoomFor(Submission submission) {
+    return submissions.isEmpty()
+        || (!ids.contains(submission.id())
+            && !submission.needsOwnTransaction()
+            && bytes + submission.bytes() <= MAX_BYTES
+            && conditions + submission.conditionCount() <= maxConditions);
+  }
+
+  void add(Submission submission) {
+    submissions.add(submission);
+    ids.add(submission.id());
+    bytes += submission.bytes();
+    conditions += submission.conditionCount();
+  }
+
+  List<Submission> submissions() {
+    return Collections.unmodifiableList(submissions);
+  }
+}
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -1,70 +1,35 @@
 package org.saffronshore.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
-import org.saffronshore.state.JobStore.SubmissionResult;
 import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.Json;
 
 /**
- * Accepts jobs, each once. Submissions that arrive while a commit is under way share the next one.
+ * Accepts jobs, each once. Submissions that arrive while a transaction is under way share the next
+ * one.
  */
 final class SubmissionQueue {
-  /** How long to wait for the write budget. */
-  private static final double PAUSE_S = 0.05;
+  /** How long to wait when the budget of writes is spent, in seconds. */
+  private static final double RETRY_S = 0.05;
 
-  /** A transaction may be 64 KiB long; this leaves room for its guards. */
-  private static final int MAX_BYTES = 40 * 1024;
-
-  /** A job's own guards: it is not open, and has not ended. */
-  private static final int OWN_GUARDS = 2;
-
-  private static final class Submission {
-    final JobSpec job;
-    final JsonNode stored;
-    final int bytes;
-    final Consumer<SubmissionResult> then;
-
-    /** Open jobs, all that this one needs, of which the commit proves that they are still open. */
-    Set<String> proven = Set.of();
-
-    /** Whether that is all that could be cancelled: if the commit succeeds, this job is not. */
-    boolean complete;
-
-    /**
-     * The state service refused a transaction with this one and others as malformed: one of them is
-     * at fault.
-     */
-    boolean alone;
-
-    Submission(JobSpec job, JsonNode stored, Consumer<SubmissionResult> then) {
-      this.job = job;
-      this.stored = stored;
-      this.bytes = Json.bytes(stored).length;
-      this.then = then;
-    }
-
-    int guards() {
-      return OWN_GUARDS + proven.size();
-    }
-  }
+  private static final int MIN_CAPACITY = 4;
 
   private final EventLoop loop;
   private final StateClient state;
   private final JobCache cache;
   private final JobReader reader;
-  private final int maxChanges;
-  private final int maxGuards;
+  private final int maxWrites;
+  private final int maxConditions;
   private final int capacity;
   private final ArrayDeque<Submission> waiting = new ArrayDeque<>();
+
+  /** Whether a transaction is under way, or waits for the budget of writes. */
   private boolean committing;
 
   SubmissionQueue(
@@ -73,164 +38,143 @@
     this.state = state;
     this.cache = cache;
     this.reader = reader;
-    this.maxChanges = Math.max(1, settings.maxTransactionWrites());
-    this.maxGuards = Transaction.maxConditions(settings);
-    // About what the write budget takes in a second.
-    this.capacity = (int) Math.max(4, settings.stateWritesPerS() / settings.controllerCount());
+    this.maxWrites = Math.max(1, settings.maxTransactionWrites());
+    this.maxConditions = Transaction.maxConditions(settings);
+    // About what the budget of writes takes in a second.
+    this.capacity =
+        (int) Math.max(MIN_CAPACITY, settings.stateWritesPerS() / settings.controllerCount());
   }
 
   /**
-   * Accepts a job if all jobs that it needs were ever accepted, which is read first as far as it is
-   * not known.
+   * Accepts a job if all jobs that it depends on were ever accepted, which is read first as far as
+   * it is not known.
    */
-  void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> then) {
-    submit(new Submission(job, new JobRecord(submittedMs, job).toJson(), then));
+  void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> callback) {
+    submit(new Submission(job, submittedMs, callback));
   }
 
   private void submit(Submission submission) {
     if (waiting.size() >= capacity) {
-      submission.then.accept(SubmissionResult.OVERLOADED);
+      submission.respond(SubmissionResult.OVERLOADED);
       return;
     }
     reader.readAll(
-        submission.job.dependencies(),
-        worst -> {
-          switch (worst) {
-            case NOT_FOUND -> submission.then.accept(SubmissionResult.UNKNOWN_DEPENDENCY);
-            case UNKNOWN -> submission.then.accept(SubmissionResult.UNKNOWN);
-            default -> {
-              waiting.add(submission);
-              if (!committing) {
-                commitNext();
-              }
+        submission.dependencies(),
+        status -> {
+          if (status == JobStatus.NOT_FOUND) {
+            submission.respond(SubmissionResult.UNKNOWN_DEPENDENCY);
+          } else if (status == JobStatus.UNKNOWN) {
+            submission.respond(SubmissionResult.UNKNOWN);
+          } else {
+            waiting.add(submission);
+            if (!committing) {
+              commitNext();
             }
           }
         });
   }
 
-  /**
-   * That the needed jobs were accepted never changes and is no matter for the commit. But that none
-   * of them is cancelled may be proven with it, where so many guards fit, which saves a look at
-   * them afterwards.
-   */
-  private void prove(Submission submission) {
-    JobCache.Closure needed = cache.closure(submission.job.dependencies());
-    submission.complete =
-        needed.unread().isEmpty()
-            && !needed.cancelled()
-            && OWN_GUARDS + needed.open().size() <= maxGuards;
-    submission.proven = submission.complete ? needed.open() : Set.of();
-  }
-
   private void commitNext() {
-    int most = Math.min(maxChanges, state.availableWrites());
-    if (most < 1) {
-      // The queue is short: what waits here is written within about a second.
-      committing = true;
-      loop.schedule(PAUSE_S, this::commitNext);
+    committing = true;
+    int maxSubmissions = Math.min(maxWrites, state.availableWrites());
+    if (maxSubmissions < 1) {
+      // The queue is short: all that waits is written within about a second.
+      loop.schedule(RETRY_S, this::commitNext);
       return;
     }
-    List<Submission> batch = takeBatch(most);
-    Transaction txn = new Transaction();
-    for (Submission submission : batch) {
-      String id = submission.job.id();
-      txn.expectVersion(Keys.openJob(id), 0).expectVersion(Keys.jobOutcome(id), 0);
-      submission.proven.forEach(
-          needed -> txn.expectVersion(Keys.openJob(needed), cache.openJob(needed).version()));
-      txn.put(Keys.openJob(id), submission.stored);
-    }
-    committing = true;
+    List<Submission> batch = takeBatch(maxSubmissions);
+    Transaction transaction = new Transaction();
+    batch.forEach(submission -> submission.addTo(transaction, cache));
     state.commit(
-        txn,
-        false,
+        transaction,
+        RequestPriority.NORMAL,
         result -> {
           committing = false;
-          committed(batch, result);
+          handleResult(batch, result);
           if (!committing && !waiting.isEmpty()) {
             commitNext();
           }
         });
   }
 
-  private List<Submission> takeBatch(int most) {
-    List<Submission> batch = new ArrayList<>();
-    Set<String> ids = new HashSet<>();
-    int bytes = 0;
-    int guards = 0;
-    while (!waiting.isEmpty() && batch.size() < most) {
-      Submission next = waiting.peek();
-      prove(next);
-      boolean fits =
-          !next.alone && bytes + next.bytes <= MAX_BYTES && guards + next.guards() <= maxGuards;
-      if (ids.contains(next.job.id()) || (!batch.isEmpty() && !fits)) {
-        break;
-      }
-      batch.add(waiting.poll());
-      ids.add(next.job.id());
-      bytes += next.bytes;
-      guards += next.guards();
-      if (next.alone) {
+  private List<Submission> takeBatch(int maxSubmissions) {
+    SubmissionBatch batch = new SubmissionBatch(maxSubmissions, maxConditions);
+    while (!waiting.isEmpty() && !batch.isFull()) {
+      Submission next = waiting.element();
+      next.chooseConditions(cache, maxConditions);
+      if (!batch.hasRoomFor(next)) {
         break;
       }
+      batch.add(waiting.remove());
     }
-    return batch;
+    return batch.submissions();
   }
 
-  private void committed(List<Submission> batch, CommitResult result) {
-    switch (result.outcome()) {
-      case COMMITTED -> batch.forEach(submission -> accepted(submission, result.revision()));
-      case CONFLICT -> refused(batch, result.conflictingJobs());
-      case OVERLOADED ->
-          batch.forEach(submission -> submission.then.accept(SubmissionResult.OVERLOADED));
-      case MALFORMED -> malformed(batch);
-      default -> batch.forEach(submission -> submission.then.accept(SubmissionResult.UNKNOWN));
+  private void handleResult(List<Submission> batch, CommitResult result) {
+    List<Submission> retried =
+        switch (result.outcome()) {
+          case COMMITTED -> {
+            batch.forEach(submission -> accept(submission, result.revision()));
+            yield List.of();
+          }
+          case CONFLICT -> handleConflict(batch, result.conflictingJobs());
+          case MALFORMED -> handleMalformed(batch);
+          case OVERLOADED -> {
+            batch.forEach(submission -> submission.respond(SubmissionResult.OVERLOADED));
+            yield List.of();
+          }
+          case UNKNOWN -> {
+            batch.forEach(submission -> submission.respond(SubmissionResult.UNKNOWN));
+            yield List.of();
+          }
+        };
+    for (Submission submission : reversed(retried)) {
+      waiting.addFirst(submission);
     }
   }
 
-  private void accepted(Submission submission, long version) {
-    JobSpec job = submission.job;
-    cache.putOpenJob(job.id(), new JobCache.OpenJob(version, job.dependencies()));
-    submission.then.accept(
-        submission.complete ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED);
+  private static List<Submission> reversed(List<Submission> submissions) {
+    List<Submission> reversed = new ArrayList<>(submissions);
+    Collections.reverse(reversed);
+    return reversed;
   }
 
-  /** One of them is at fault: each is tried alone. */
-  private void malformed(List<Submission> batch) {
+  private void accept(Submission submission, long version) {
+    cache.putOpenJob(submission.id(), new JobCache.OpenJob(version, submission.dependencies()));
+    submission.respond(submission.acceptedResult());
+  }
+
+  /** One of the submissions is at fault: each is tried in a transaction of its own. */
+  private static List<Submission> handleMalformed(List<Submission> batch) {
     if (batch.size() == 1) {
-      batch.get(0).then.accept(SubmissionResult.UNKNOWN);
-      return;
-    }
-    Collections.reverse(batch);
-    for (Submission submission : batch) {
-      submission.alone = true;
-      waiting.addFirst(submission);
+      batch.get(0).respond(SubmissionResult.UNKNOWN);
+      return List.of();
     }
+    batch.forEach(Submission::requireOwnTransaction);
+    return batch;
   }
 
-  private void refused(List<Submission> batch, Set<String> failed) {
+  /** The submissions to try again are those that no conflict is about, if one is known at all. */
+  private List<Submission> handleConflict(List<Submission> batch, Set<String> conflicting) {
     List<Submission> unaffected = new ArrayList<>();
-    boolean explained = false;
     for (Submission submission : batch) {
-      if (failed.contains(submission.job.id())) {
-        explained = true;
-        submission.then.accept(SubmissionResult.DUPLICATE);
-      } else if (!Collections.disjoint(submission.proven, failed)) {
-        // A job that it needs has ended since that was read: its end is read, and the submission
-        // tried again.
-        explained = true;
-        submission.proven.stream().filter(failed::contains).forEach(cache::dropOpenJob);
+      if (conflicting.contains(submission.id())) {
+        submission.respond(SubmissionResult.DUPLICATE);
+      } else if (!Collections.disjoint(submission.openDependencies(), conflicting)) {
+        // A dependency has ended since it was read: its outcome is read, and the job submitted
+        // again.
+        submission.openDependencies().stream()
+            .filter(conflicting::contains)
+            .forEach(cache::dropOpenJob);
         submit(submission);
       } else {
         unaffected.add(submission);
       }
     }
-    Collections.reverse(unaffected);
-    for (Submission submission : unaffected) {
-      if (explained) {
-        waiting.addFirst(submission);
-      } else {
-        submission.then.accept(SubmissionResult.UNKNOWN);
-      }
+    if (unaffected.size() < batch.size()) {
+      return unaffected;
     }
+    reversed(unaffected).forEach(submission -> submission.respond(SubmissionResult.UNKNOWN));
+    return List.of();
   }
 }
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -2,47 +2,45 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.Json;
 
 /**
- * A candidate's request for votes that is written to the state service.
+ * A candidate's request for votes: the value of {@link Keys#VOTE_REQUEST}.
  *
+ * @param node the candidate's name; null when it is not known
+ * @param incarnation distinguishes the process from earlier ones of the same controller; null when
+ *     it is not known
+ * @param term the term that the candidate wants to lead; -1 when it is not known
  * @param number distinguishes the requests of one process
  */
-public record VoteRequest(String node, String incarnation, long term, long number) {
+public record VoteRequest(
+    @Nullable String node, @Nullable String incarnation, long term, long number) {
+  private static final String NODE_FIELD = "Node";
+  private static final String INCARNATION_FIELD = "Life";
+  private static final String TERM_FIELD = "Term";
+  private static final String NUMBER_FIELD = "N";
 
-  /** Reads a stored value; what is missing is null, and the term -1. */
+  /** Reads a stored value; what is missing in it is not known. */
   public static VoteRequest parse(JsonNode stored) {
     return new VoteRequest(
-        Json.text(stored, "Node"),
-        Json.text(stored, "Life"),
-        Json.integer(stored, "Term", -1),
-        Json.integer(stored, "N", 0));
+        Json.text(stored, NODE_FIELD),
+        Json.text(stored, INCARNATION_FIELD),
+        Json.integer(stored, TERM_FIELD, -1),
+        Json.integer(stored, NUMBER_FIELD, 0));
   }
 
   /** The stored form. */
   public ObjectNode toJson() {
     return Json.object()
-        .put("Node", node)
-        .put("Life", incarnation)
-        .put("Term", term)
-        .put("N", number);
+        .put(NODE_FIELD, node)
+        .put(INCARNATION_FIELD, incarnation)
+        .put(TERM_FIELD, term)
+        .put(NUMBER_FIELD, number);
   }
 
-  /** The stored form of a vote for this request. */
-  public ObjectNode toVote() {
-    return Json.object()
-        .put("Term", term)
-        .put("To", node)
-        .put("Life", incarnation)
-        .put("N", number);
-  }
-
-  /** Whether a stored vote is for this request. */
-  public boolean isVotedForBy(JsonNode vote) {
-    return Json.integer(vote, "Term", -1) == term
-        && node.equals(Json.text(vote, "To"))
-        && incarnation.equals(Json.text(vote, "Life"))
-        && Json.integer(vote, "N", -1) == number;
+  /** A vote for this request. */
+  public Vote toVote() {
+    return new Vote(term, node, incarnation, number);
   }
 }
--- a/src/main/java/org/saffronshore/state/WatchResult.java
+++ b/src/main/java/org/saffronshore/state/WatchResult.java
@@ -3,42 +3,54 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
- * What a watch on a prefix has brought.
+ * The result of a watch on a prefix.
  *
- * @param revision from which the next watch continues
+ * @param revision the revision from which the next watch continues
+ * @param events the changes in their order; empty unless they were received
  */
 public record WatchResult(Outcome outcome, long revision, List<Event> events) {
 
-  /** TOO_OLD: the keys have to be read again. */
+  /** Whether the watch received the changes, of which there may be none. */
   public enum Outcome {
     RECEIVED,
+
+    /** The state service does not keep changes from so long ago: the keys have to be listed. */
     COMPACTED,
+
+    /** The state service did not respond, or not with changes. */
     UNKNOWN
   }
 
-  /** A key that was set, or removed if the value is null. */
-  public record Event(String key, JsonNode value, long version) {}
+  /**
+   * A change of a key.
+   *
+   * @param value the new stored form; null when the key was deleted
+   * @param version the revision of the change
+   */
+  public record Event(String key, @Nullable JsonNode value, long version) {}
 
-  static WatchResult of(Response answer, long after) {
-    JsonNode body = answer.ok() ? answer.json() : null;
-    if (body == null || !body.path("Events").isArray()) {
-      return new WatchResult(
-          answer.status() == 410 ? Outcome.COMPACTED : Outcome.UNKNOWN, after, List.of());
+  static WatchResult parse(Response response, long afterRevision) {
+    JsonNode body = response.ok() ? response.json() : null;
+    if (body == null || !body.path(ProtocolFields.EVENTS).isArray()) {
+      Outcome outcome = response.status() == 410 ? Outcome.COMPACTED : Outcome.UNKNOWN;
+      return new WatchResult(outcome, afterRevision, List.of());
     }
-    List<Event> changes = new ArrayList<>();
-    for (JsonNode event : body.get("Events")) {
-      String set = Json.text(event, "Set");
-      String key = set != null ? set : Json.text(event, "Remove");
+    List<Event> events = new ArrayList<>();
+    for (JsonNode event : body.get(ProtocolFields.EVENTS)) {
+      String putKey = Json.text(event, ProtocolFields.PUT);
+      String key = putKey != null ? putKey : Json.text(event, ProtocolFields.DELETE);
       if (key != null) {
-        JsonNode value = set != null ? event.path("Data") : null;
-        changes.add(new Event(key, value, Json.integer(event, "Stamp", 0)));
+        JsonNode value = putKey != null ? event.path(ProtocolFields.VALUE) : null;
+        events.add(new Event(key, value, Json.integer(event, ProtocolFields.VERSION, 0)));
       }
     }
-    return new WatchResult(Outcome.RECEIVED, Json.integer(body, "Ledger", after), changes);
+    long revision = Json.integer(body, ProtocolFields.REVISION, afterRevision);
+    return new WatchResult(Outcome.RECEIVED, revision, events);
   }
 
   public boolean isReceived() {
--- a/src/test/java/org/saffronshore/control/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/control/PagedRecordsTest.java
@@ -13,6 +13,7 @@
 import org.saffronshore.ManualEventLoop;
 import org.saffronshore.TestData;
 import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 
@@ -28,7 +29,7 @@
     PagedRecords.Batch batch = from.addTo(txn, 8, 1000);
     boolean[] ok = new boolean[1];
     if (!batch.isEmpty()) {
-      state.commit(txn, true, answer -> ok[0] = batch.written(state, answer));
+      state.commit(txn, RequestPriority.VITAL, answer -> ok[0] = batch.written(state, answer));
       loop.pass(2);
     }
     return ok[0];
@@ -38,10 +39,12 @@
     Map<String, Long> all = new TreeMap<>();
     state.list(
         "r/",
-        true,
+        RequestPriority.VITAL,
         listing ->
             new PagedRecords("r/", MAX_BYTES, 2 * MAX_BYTES)
-                .read(listing.entries(), (name, value) -> all.put(name, value.asLong())));
+                .read(
+                    listing.orElseThrow().entries(),
+                    (name, value) -> all.put(name, value.asLong())));
     loop.pass(1);
     return all;
   }
@@ -148,7 +151,10 @@
     }
     assertTrue(write(former));
     service.valueBytes = 2 * MAX_BYTES;
-    state.list("r/", true, listing -> pages.read(listing.entries(), (name, value) -> {}));
+    state.list(
+        "r/",
+        RequestPriority.VITAL,
+        listing -> pages.read(listing.orElseThrow().entries(), (name, value) -> {}));
     loop.pass(1);
     assertTrue(pages.splitting());
     // Of what is taken out meanwhile a copy may be left that was never written.
--- a/src/test/java/org/saffronshore/control/UpgradeTest.java
+++ b/src/test/java/org/saffronshore/control/UpgradeTest.java
@@ -101,8 +101,7 @@
         "a job that needs no other is written as it was");
     assertEquals(names(json(JOB)), names(state.value("j/wk-1")));
     JsonNode end =
-        org.saffronshore.state.JobStore.outcomeRecord(
-            org.saffronshore.state.JobStore.JobStatus.DONE, 5);
+        new org.saffronshore.state.JobOutcome(org.saffronshore.state.JobStatus.DONE, 5).toJson();
     assertEquals("done", end.get("State").asText());
     state.value("p/0").forEach(bits -> assertTrue(bits.isTextual()));
     state.value("b/0").forEach(launchMark -> assertTrue(launchMark.isInt()));
--- a/src/test/java/org/saffronshore/state/JobStoreTest.java
+++ b/src/test/java/org/saffronshore/state/JobStoreTest.java
@@ -13,8 +13,6 @@
 import org.saffronshore.ManualEventLoop;
 import org.saffronshore.TestData;
 import org.saffronshore.config.Settings;
-import org.saffronshore.state.JobStore.JobStatus;
-import org.saffronshore.state.JobStore.SubmissionResult;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
@@ -152,7 +150,7 @@
     service.valueBytes = 600;
     List<String> many = new ArrayList<>();
     for (int n = 100; n < 200; n++) {
-      service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
+      service.put("f/wk-" + n, new JobOutcome(JobStatus.DONE, 1).toJson());
       many.add("wk-" + n);
     }
     here.submit(job(50).withDependencies(many), 0, told::add);
@@ -197,7 +195,7 @@
 
   private void done(int n) {
     service.remove("j/wk-" + n);
-    service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
+    service.put("f/wk-" + n, new JobOutcome(JobStatus.DONE, 1).toJson());
   }
 
   private JobStatus look(JobStore at, int n) {
@@ -367,8 +365,8 @@
       } else {
         service.put(
             "f/wk-" + n,
-            JobStore.outcomeRecord(
-                ended < 0 && n == 1500 ? JobStatus.CANCELLED : JobStatus.DONE, 1));
+            new JobOutcome(ended < 0 && n == 1500 ? JobStatus.CANCELLED : JobStatus.DONE, 1)
+                .toJson());
       }
     }
     int before = service.log.size();
@@ -407,7 +405,7 @@
     List<String> all = new ArrayList<>();
     for (int n = 1000; n < 1020; n++) {
       all.add("wk-" + n);
-      service.put("f/wk-" + n, JobStore.outcomeRecord(JobStatus.DONE, 1));
+      service.put("f/wk-" + n, new JobOutcome(JobStatus.DONE, 1).toJson());
     }
     for (String prefix : List.of("Under=j/", "Under=f/")) {
       service.away = (method, path) -> path.contains(prefix);
