--- a/src/main/java/org/saffronshore/admin/OperatorSettings.java
+++ b/src/main/java/org/saffronshore/admin/OperatorSettings.java
@@ -11,60 +11,86 @@
 import org.saffronshore.wire.Json;
 
 /**
- * What operators set at run time: the cycle's tuning, and teams' weights where they differ from the
- * guarantees.
+ * What operators set at run time: the parameters of the scheduling cycle, and the weights of teams
+ * where they differ from the guaranteed quotas. Stored under {@code Keys.OPERATOR_SETTINGS}, and
+ * shown to operators, in the form that {@link #parse} and {@link #toJson} define.
+ *
+ * @param teamWeights by team; a team that is not in it has its guaranteed quota as its weight
  */
 public record OperatorSettings(SchedulingSettings scheduling, Map<String, Double> teamWeights) {
   public static final OperatorSettings DEFAULTS =
       new OperatorSettings(SchedulingSettings.DEFAULTS, Map.of());
-  private static final Set<String> KNOWN =
-      Set.of("period_s", "eviction_probability", "gpu_weight", "memory_weight", "team_weights");
-  private static final double MAX = 1e6;
+
+  private static final String PERIOD_FIELD = "period_s";
+  private static final String EVICTION_PROBABILITY_FIELD = "eviction_probability";
+  private static final String GPU_WEIGHT_FIELD = "gpu_weight";
+  private static final String MEMORY_WEIGHT_FIELD = "memory_weight";
+  private static final String TEAM_WEIGHTS_FIELD = "team_weights";
+  private static final Set<String> FIELDS =
+      Set.of(
+          PERIOD_FIELD,
+          EVICTION_PROBABILITY_FIELD,
+          GPU_WEIGHT_FIELD,
+          MEMORY_WEIGHT_FIELD,
+          TEAM_WEIGHTS_FIELD);
+
+  private static final double MIN_PERIOD_S = 0.1;
+  private static final double MAX_PERIOD_S = 3600;
+  private static final double MIN_TEAM_WEIGHT = 1e-3;
+  private static final double MAX_WEIGHT = 1e6;
 
   /**
-   * Reads settings; a field that is left out keeps its starting value, one that is not known is an
-   * error.
+   * Reads settings; a field that is left out has its default.
+   *
+   * @param teams the teams that there are
+   * @throws InvalidFieldException when a field has no valid value, or is not a setting
    */
   public static OperatorSettings parse(JsonNode body, Set<String> teams)
       throws InvalidFieldException {
-    FieldReader f = FieldReader.of(body, "");
+    FieldReader fields = FieldReader.of(body, "");
     for (var names = body.fieldNames(); names.hasNext(); ) {
       String name = names.next();
-      if (!KNOWN.contains(name)) {
+      if (!FIELDS.contains(name)) {
         throw new InvalidFieldException(name, "is not a setting");
       }
     }
-    SchedulingSettings start = SchedulingSettings.DEFAULTS;
-    SchedulingSettings tuning =
+    SchedulingSettings defaults = SchedulingSettings.DEFAULTS;
+    SchedulingSettings scheduling =
         new SchedulingSettings(
-            f.number("period_s", 0.1, 3600, start.periodS()),
-            f.number("eviction_probability", 0, 1, start.evictionProbability()),
-            f.number("gpu_weight", 0, MAX, start.gpuWeight()),
-            f.number("memory_weight", 0, MAX, start.memoryWeight()));
-    Map<String, Double> weights = new TreeMap<>();
-    if (f.has("team_weights")) {
-      FieldReader w = f.object("team_weights");
-      for (var names = w.node().fieldNames(); names.hasNext(); ) {
-        String team = names.next();
-        if (!teams.contains(team)) {
-          throw new InvalidFieldException("team_weights." + team, "is not a team");
-        }
-        weights.put(team, w.number(team, 1e-3, MAX));
+            fields.number(PERIOD_FIELD, MIN_PERIOD_S, MAX_PERIOD_S, defaults.periodS()),
+            fields.number(EVICTION_PROBABILITY_FIELD, 0, 1, defaults.evictionProbability()),
+            fields.number(GPU_WEIGHT_FIELD, 0, MAX_WEIGHT, defaults.gpuWeight()),
+            fields.number(MEMORY_WEIGHT_FIELD, 0, MAX_WEIGHT, defaults.memoryWeight()));
+    Map<String, Double> teamWeights =
+        fields.has(TEAM_WEIGHTS_FIELD)
+            ? parseTeamWeights(fields.object(TEAM_WEIGHTS_FIELD), teams)
+            : Map.of();
+    return new OperatorSettings(scheduling, teamWeights);
+  }
+
+  private static Map<String, Double> parseTeamWeights(FieldReader weights, Set<String> teams)
+      throws InvalidFieldException {
+    Map<String, Double> parsed = new TreeMap<>();
+    for (var names = weights.node().fieldNames(); names.hasNext(); ) {
+      String team = names.next();
+      if (!teams.contains(team)) {
+        throw new InvalidFieldException(TEAM_WEIGHTS_FIELD + "." + team, "is not a team");
       }
+      parsed.put(team, weights.number(team, MIN_TEAM_WEIGHT, MAX_WEIGHT));
     }
-    return new OperatorSettings(tuning, Map.copyOf(weights));
+    return Map.copyOf(parsed);
   }
 
   /** The form in which settings are stored and shown to operators. */
   public ObjectNode toJson() {
-    ObjectNode o =
+    ObjectNode settings =
         Json.object()
-            .put("period_s", scheduling.periodS())
-            .put("eviction_probability", scheduling.evictionProbability())
-            .put("gpu_weight", scheduling.gpuWeight())
-            .put("memory_weight", scheduling.memoryWeight());
-    ObjectNode weights = o.putObject("team_weights");
+            .put(PERIOD_FIELD, scheduling.periodS())
+            .put(EVICTION_PROBABILITY_FIELD, scheduling.evictionProbability())
+            .put(GPU_WEIGHT_FIELD, scheduling.gpuWeight())
+            .put(MEMORY_WEIGHT_FIELD, scheduling.memoryWeight());
+    ObjectNode weights = settings.putObject(TEAM_WEIGHTS_FIELD);
     new TreeMap<>(teamWeights).forEach(weights::put);
-    return o;
+    return settings;
   }
 }
--- a/src/test/java/org/saffronshore/FakeStateService.java
+++ b/src/test/java/org/saffronshore/FakeStateService.java
@@ -17,59 +17,75 @@
 /** A state service in memory, on a manual clock, with the failures that the protocol lists. */
 public final class FakeStateService implements Client {
 
-  private record Value(JsonNode data, long version, long lease) {}
+  private record Value(JsonNode data, long version, long leaseId) {}
 
+  /** A change of a key; without data it was deleted. */
   private record Change(String key, JsonNode data, long revision) {}
 
+  private static final class Lease {
+    private final double durationS;
+    private double expiresAt;
+
+    Lease(double durationS, double now) {
+      this.durationS = durationS;
+      this.expiresAt = now + durationS;
+    }
+  }
+
   public final ManualEventLoop loop;
   public long revision = 1;
 
-  /** Requests that are refused with 503 without being executed. */
+  /** Requests that are refused with 503 and not executed. */
   public BiPredicate<String, String> away = (method, path) -> false;
 
-  /** Nothing reaches it, and nothing is heard of it. */
+  /** Whether no request reaches the service, and none gets a response. */
   public boolean silent;
 
-  /** Requests that are executed although their answer is lost. */
+  /** Requests that are executed although their response is lost. */
   public BiPredicate<String, String> answerLost = (method, path) -> false;
 
   /**
-   * Requests that are only executed when {@link #deliverLate} is called, long after their sender
-   * gave up.
+   * Requests that are executed only when {@link #deliverLate} is called, long after their time
+   * limit.
    */
   public BiPredicate<String, String> held = (method, path) -> false;
 
+  /** Method and path of every request, in their order. */
   public final List<String> log = new ArrayList<>();
 
-  /**
-   * The largest of all transactions that came: in bytes, in changes, and the longest value in any.
-   */
+  /** The length of the longest transaction, in bytes. */
   public int longestTxn;
 
+  /** The most writes in a transaction. */
   public int maxChanges;
+
+  /** The length of the longest value, in bytes. */
   public int longestValue;
 
-  /** A refusal names only the first guard that failed. */
+  /** Whether a conflict names only the first key whose condition did not hold. */
   public boolean namesOneFailure;
 
-  /** Transactions beyond a limit, or with an empty list of changes. */
+  /** How many transactions were beyond a limit, or had an empty list of writes. */
   public int malformed;
 
-  /** Limits on a transaction: changes, and bytes of a value; beyond them 400. */
+  /** The most writes in a transaction; beyond them the status is 400. */
   public int txnOps = Integer.MAX_VALUE;
 
+  /** The most bytes in a value; beyond them the status is 400. */
   public int valueBytes = Integer.MAX_VALUE;
 
-  /** Changes in a second; beyond them 429. */
+  /** The most writes per second; beyond them the status is 429. */
   public double writeRps = Double.POSITIVE_INFINITY;
 
-  private double written;
-  private double writtenAt;
-  private final List<Runnable> late = new ArrayList<>();
+  /** Writes of the last second, by a leaky bucket. */
+  private double recentWrites;
+
+  private double lastWriteAt;
+  private final List<Runnable> heldRequests = new ArrayList<>();
   private final TreeMap<String, Value> values = new TreeMap<>();
-  private final Map<Long, double[]> leases = new HashMap<>();
+  private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private long lastPermit;
+  private long lastLeaseId;
 
   public FakeStateService(ManualEventLoop loop) {
     this.loop = loop;
@@ -88,9 +104,9 @@
       loop.schedule(timeoutS, () -> receiver.onResponse(Response.LOST));
     } else if (away.test(method, path)) {
       loop.schedule(
-          0.001, () -> receiver.onResponse(answer(503, Json.object().put("error", "trouble"))));
+          0.001, () -> receiver.onResponse(response(503, Json.object().put("error", "trouble"))));
     } else if (held.test(method, path)) {
-      late.add(() -> execute(method, path, body));
+      heldRequests.add(() -> execute(method, path, body));
       loop.schedule(timeoutS, () -> receiver.onResponse(Response.LOST));
     } else if (answerLost.test(method, path)) {
       execute(method, path, body);
@@ -102,18 +118,18 @@
     }
   }
 
-  /** After an outage every lease has its full time once more. */
+  /** After an outage every lease lasts for its full duration once more. */
   public void outlive(double outageS) {
-    leases.values().forEach(life -> life[1] += outageS + life[0]);
+    leases.values().forEach(lease -> lease.expiresAt += outageS + lease.durationS);
   }
 
   public void deliverLate() {
-    late.forEach(Runnable::run);
-    late.clear();
+    heldRequests.forEach(Runnable::run);
+    heldRequests.clear();
   }
 
   public JsonNode value(String key) {
-    expire();
+    expireLeases();
     return values.containsKey(key) ? values.get(key).data : null;
   }
 
@@ -129,16 +145,16 @@
     change(key, null, ++revision, 0);
   }
 
-  private void change(String key, JsonNode data, long at, long lease) {
+  private void change(String key, JsonNode data, long atRevision, long leaseId) {
     if (data == null) {
       values.remove(key);
     } else {
-      values.put(key, new Value(data, at, lease));
+      values.put(key, new Value(data, atRevision, leaseId));
     }
-    changes.add(new Change(key, data, at));
+    changes.add(new Change(key, data, atRevision));
   }
 
-  private static Response answer(int status, JsonNode body) {
+  private static Response response(int status, JsonNode body) {
     return new Response(status, Json.bytes(body));
   }
 
@@ -155,166 +171,175 @@
     return "";
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (away.test("GET", "/kv/")) {
       return;
     }
     leases
         .entrySet()
         .removeIf(
-            e -> {
-              if (e.getValue()[1] > loop.now()) {
-                return false;
+            entry -> {
+              boolean expired = entry.getValue().expiresAt <= loop.now();
+              if (expired) {
+                deleteKeysOf(entry.getKey());
               }
-              end(e.getKey());
-              return true;
+              return expired;
             });
   }
 
-  private void end(long lease) {
+  private void deleteKeysOf(long leaseId) {
     for (String key : List.copyOf(values.keySet())) {
-      if (values.get(key).lease == lease) {
+      if (values.get(key).leaseId == leaseId) {
         change(key, null, ++revision, 0);
       }
     }
   }
 
   private Response execute(String method, String path, byte[] body) {
-    expire();
-    JsonNode in = body == null ? Json.object() : Json.parse(body);
-    if (path.equals("/commit")) {
-      longestTxn = Math.max(longestTxn, body.length);
-      maxChanges = Math.max(maxChanges, in.path("Then").size());
-      in.path("Then")
-          .forEach(c -> longestValue = Math.max(longestValue, c.path("Data").toString().length()));
-    }
+    expireLeases();
+    JsonNode request = body == null ? Json.object() : Json.parse(body);
     if (path.startsWith("/kv/")) {
-      Value v = values.get(path.substring(4));
-      if (v == null) {
-        return answer(404, Json.object().put("Ledger", revision));
-      }
-      ObjectNode o =
-          Json.object().put("K", path.substring(4)).put("Stamp", v.version).put("Permit", v.lease);
-      o.set("Data", v.data);
-      return answer(200, o);
+      return get(path.substring("/kv/".length()));
     } else if (path.startsWith("/kv?")) {
       return list(text(path, "Under"), text(path, "After"), number(path, "Most"));
     } else if (path.equals("/commit")) {
-      return commit(in);
+      measure(request, body.length);
+      return commit(request);
     } else if (path.equals("/holds")) {
-      leases.put(
-          ++lastPermit,
-          new double[] {
-            in.get("LifeMs").asLong() / 1000.0, loop.now() + in.get("LifeMs").asLong() / 1000.0
-          });
-      return answer(200, Json.object().put("Permit", lastPermit));
+      double durationS = request.get("LifeMs").asLong() / 1000.0;
+      leases.put(++lastLeaseId, new Lease(durationS, loop.now()));
+      return response(200, Json.object().put("Permit", lastLeaseId));
     }
-    long lease = Long.parseLong(path.split("/", -1)[2]);
-    double[] life = leases.get(lease);
-    if (life == null) {
-      return answer(404, Json.object());
+    return changeLease(method, Long.parseLong(path.split("/", -1)[2]));
+  }
+
+  private void measure(JsonNode transaction, int bytes) {
+    longestTxn = Math.max(longestTxn, bytes);
+    maxChanges = Math.max(maxChanges, transaction.path("Then").size());
+    for (JsonNode write : transaction.path("Then")) {
+      longestValue = Math.max(longestValue, write.path("Data").toString().length());
+    }
+  }
+
+  private Response get(String key) {
+    Value value = values.get(key);
+    if (value == null) {
+      return response(404, Json.object().put("Ledger", revision));
+    }
+    ObjectNode found =
+        Json.object().put("K", key).put("Stamp", value.version).put("Permit", value.leaseId);
+    found.set("Data", value.data);
+    return response(200, found);
+  }
+
+  /** Renews or ends a lease. */
+  private Response changeLease(String method, long leaseId) {
+    Lease lease = leases.get(leaseId);
+    if (lease == null) {
+      return response(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      leases.remove(lease);
-      end(lease);
+      leases.remove(leaseId);
+      deleteKeysOf(leaseId);
     } else {
-      life[1] = loop.now() + life[0];
+      lease.expiresAt = loop.now() + lease.durationS;
     }
-    return answer(200, Json.object());
+    return response(200, Json.object());
   }
 
   private Response list(String under, String after, long most) {
-    ObjectNode o = Json.object().put("Ledger", revision);
-    ArrayNode items = o.putArray("Items");
-    for (var e : values.tailMap(after.isEmpty() ? under : after, after.isEmpty()).entrySet()) {
-      if (!e.getKey().startsWith(under)) {
+    ObjectNode listing = Json.object().put("Ledger", revision);
+    ArrayNode items = listing.putArray("Items");
+    for (var entry : values.tailMap(after.isEmpty() ? under : after, after.isEmpty()).entrySet()) {
+      if (!entry.getKey().startsWith(under)) {
         break;
       }
       if (items.size() == most) {
-        o.put("Truncated", true);
+        listing.put("Truncated", true);
         break;
       }
       items
           .addObject()
-          .put("K", e.getKey())
-          .put("Stamp", e.getValue().version)
-          .set("Data", e.getValue().data);
+          .put("K", entry.getKey())
+          .put("Stamp", entry.getValue().version)
+          .set("Data", entry.getValue().data);
     }
-    return answer(200, o);
+    return response(200, listing);
   }
 
-  private Response commit(JsonNode in) {
-    if (beyondLimits(in)) {
+  private Response commit(JsonNode transaction) {
+    if (beyondLimits(transaction)) {
       malformed++;
-      return answer(400, Json.object().put("error", "malformed"));
+      return response(400, Json.object().put("error", "malformed"));
     }
-    written = Math.max(0, written - (loop.now() - writtenAt) * writeRps);
-    writtenAt = loop.now();
-    if (written + in.path("Then").size() > writeRps) {
-      return answer(429, Json.object());
+    recentWrites = Math.max(0, recentWrites - (loop.now() - lastWriteAt) * writeRps);
+    lastWriteAt = loop.now();
+    if (recentWrites + transaction.path("Then").size() > writeRps) {
+      return response(429, Json.object());
     }
-    written += in.path("Then").size();
-    for (JsonNode c : in.path("Then")) {
-      if (c.has("Permit") && !leases.containsKey(c.get("Permit").asLong())) {
-        return answer(400, Json.object().put("error", "no such lease"));
+    recentWrites += transaction.path("Then").size();
+    for (JsonNode write : transaction.path("Then")) {
+      if (write.has("Permit") && !leases.containsKey(write.get("Permit").asLong())) {
+        return response(400, Json.object().put("error", "no such lease"));
       }
     }
-    ObjectNode refusal = Json.object().put("Ledger", revision);
-    ArrayNode failed = refusal.putArray("failed");
-    for (JsonNode g : in.path("Guards")) {
+    ObjectNode conflict = Json.object().put("Ledger", revision);
+    ArrayNode failed = conflict.putArray("failed");
+    for (JsonNode condition : transaction.path("Guards")) {
       boolean named = !namesOneFailure || failed.isEmpty();
-      if (named && version(g.get("K").asText()) != g.get("Stamp").asLong()) {
-        failed.add(g.get("K").asText());
+      if (named && version(condition.get("K").asText()) != condition.get("Stamp").asLong()) {
+        failed.add(condition.get("K").asText());
       }
     }
     if (!failed.isEmpty()) {
-      return answer(409, refusal);
+      return response(409, conflict);
     }
     revision++;
-    in.path("Then").forEach(this::carryOut);
-    return answer(200, Json.object().put("Ledger", revision));
+    transaction.path("Then").forEach(this::apply);
+    return response(200, Json.object().put("Ledger", revision));
   }
 
-  private boolean beyondLimits(JsonNode in) {
+  private boolean beyondLimits(JsonNode transaction) {
     boolean tooLong = false;
-    for (JsonNode c : in.path("Then")) {
-      tooLong |= c.path("Data").toString().length() > valueBytes;
+    for (JsonNode write : transaction.path("Then")) {
+      tooLong |= write.path("Data").toString().length() > valueBytes;
     }
-    boolean tooManyGuards = txnOps < Integer.MAX_VALUE && in.path("Guards").size() > 4 * txnOps;
-    boolean tooManyChanges = in.path("Then").size() > txnOps;
+    boolean tooManyConditions =
+        txnOps < Integer.MAX_VALUE && transaction.path("Guards").size() > 4 * txnOps;
+    boolean tooManyWrites = transaction.path("Then").size() > txnOps;
     return tooLong
-        || tooManyGuards
-        || tooManyChanges
-        || (in.has("Then") && in.get("Then").isEmpty());
+        || tooManyConditions
+        || tooManyWrites
+        || (transaction.has("Then") && transaction.get("Then").isEmpty());
   }
 
-  private void carryOut(JsonNode c) {
-    boolean set = c.has("Set");
+  private void apply(JsonNode write) {
+    boolean put = write.has("Set");
     change(
-        c.get(set ? "Set" : "Remove").asText(),
-        set ? c.get("Data") : null,
+        write.get(put ? "Set" : "Remove").asText(),
+        put ? write.get("Data") : null,
         revision,
-        c.path("Permit").asLong(0));
+        write.path("Permit").asLong(0));
   }
 
   private void watch(String path, double until, Response.Callback receiver) {
-    expire();
-    ObjectNode o = Json.object().put("Ledger", revision);
-    ArrayNode events = o.putArray("Events");
-    for (Change c : changes) {
-      if (c.revision > number(path, "After") && c.key.startsWith(text(path, "Under"))) {
+    expireLeases();
+    ObjectNode response = Json.object().put("Ledger", revision);
+    ArrayNode events = response.putArray("Events");
+    for (Change change : changes) {
+      if (change.revision > number(path, "After") && change.key.startsWith(text(path, "Under"))) {
         ObjectNode event =
             events
                 .addObject()
-                .put(c.data == null ? "Remove" : "Set", c.key)
-                .put("Stamp", c.revision);
-        if (c.data != null) {
-          event.set("Data", c.data);
+                .put(change.data == null ? "Remove" : "Set", change.key)
+                .put("Stamp", change.revision);
+        if (change.data != null) {
+          event.set("Data", change.data);
         }
       }
     }
     if (!events.isEmpty() || loop.now() >= until) {
-      receiver.onResponse(answer(200, o));
+      receiver.onResponse(response(200, response));
     } else {
       loop.schedule(0.01, () -> watch(path, until, receiver));
     }
--- /dev/null
+++ b/src/test/java/org/saffronshore/state/JobLookupTest.java
@@ -0,0 +1,114 @@
+package org.saffronshore.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.saffronshore.TestData;
+import org.saffronshore.wire.Json;
+
+class JobLookupTest extends JobStoreTestBase {
+  @Test
+  void statusIsUnknownWhenRecordOrOutcomeCannotBeRead() {
+    service.away = (method, path) -> path.contains("f/");
+    store.lookUp("wk-1", results::add);
+    service.away = (method, path) -> true;
+    store.lookUp("wk-1", results::add);
+    store.submit(job(1), 0, results::add);
+    assertEquals(
+        3,
+        takeResults().stream()
+            .filter(result -> result == JobStatus.UNKNOWN || result == SubmissionResult.UNKNOWN)
+            .count());
+  }
+
+  /** An outcome never changes, so the state service need not be read for it. */
+  @Test
+  void knownOutcomeIsReturnedWhileTheStateServiceIsUnavailable() {
+    store.submit(job(1), 0, results::add);
+    takeResults();
+    store.cancel("wk-1", results::add);
+    takeResults();
+    service.away = (method, path) -> true;
+    store.lookUp("wk-1", results::add);
+    store.cancel("wk-1", results::add);
+    assertEquals(List.of(JobStatus.CANCELLED, JobStatus.CANCELLED), takeResults());
+  }
+
+  /**
+   * With a request for each of them, a burst of polls would use up the controller's share of the
+   * request rate.
+   */
+  @Test
+  void lookUpsInQuickSuccessionShareRequests() {
+    service.txnOps = TestData.settings().maxTransactionWrites();
+    for (int n = 1; n <= 60; n++) {
+      service.put(
+          "j/wk-" + n, Json.object().set("Spec", (n % 2 == 0 ? job(n, "wk-1") : job(n)).toJson()));
+      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+    }
+    complete(7);
+    store.cancel("wk-9", results::add);
+    takeResults();
+    int before = service.log.size();
+    List<String> statuses = new ArrayList<>();
+    for (int n = 1; n <= 60; n++) {
+      int job = n;
+      otherStore.lookUp("wk-" + n, status -> statuses.add(job + " " + status));
+    }
+    loop.pass(1);
+    assertEquals(60, statuses.size());
+    statuses.removeIf(status -> status.endsWith(" OPEN"));
+    assertEquals(List.of("7 DONE", "9 CANCELLED"), statuses.stream().sorted().toList());
+    assertTrue(
+        service.log.size() - before <= 8,
+        service.log.subList(before, service.log.size()).toString());
+    assertEquals(0, service.malformed);
+  }
+
+  /** The protocol does not say that a conflict names every key whose condition did not hold. */
+  @Test
+  void jobsThatAConflictDoesNotNameAreCheckedAgain() {
+    service.namesOneFailure = true;
+    for (int n = 1; n <= 20; n++) {
+      service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
+      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+    }
+    List.of(3, 5, 8).forEach(this::complete);
+    store.cancel("wk-9", results::add);
+    takeResults();
+    List<String> ended = new ArrayList<>();
+    for (int n = 1; n <= 20; n++) {
+      int job = n;
+      otherStore.lookUp(
+          "wk-" + n,
+          status -> {
+            if (status != JobStatus.OPEN) {
+              ended.add(job + " " + status);
+            }
+          });
+    }
+    loop.pass(2);
+    assertEquals(
+        List.of("3 DONE", "5 DONE", "8 DONE", "9 CANCELLED"), ended.stream().sorted().toList());
+  }
+
+  @Test
+  void lookUpsAreUnknownWhenTheStateServiceIsUnavailable() {
+    for (int n = 1; n <= 60; n++) {
+      service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
+      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+    }
+    service.away = (method, path) -> true;
+    for (int n = 1; n <= 60; n++) {
+      otherStore.lookUp("wk-" + n, results::add);
+    }
+    loop.pass(1);
+    assertEquals(60, results.stream().filter(JobStatus.UNKNOWN::equals).count());
+    service.away = (method, path) -> false;
+    results.clear();
+    assertEquals(JobStatus.OPEN, statusAt(otherStore, 60));
+  }
+}
