--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -13,7 +13,7 @@
 /**
  * What one controller has read of jobs. Only facts that never change are kept: a job's outcome, and
  * the version of an accepted job's record and the jobs it depends on. Whether a job is still open
- * changes, and is never answered from here.
+ * changes, and is never taken from here.
  */
 final class JobCache {
   /** A version that no key has: a condition on it never holds. */
--- a/src/main/java/org/saffronshore/state/JobLookup.java
+++ b/src/main/java/org/saffronshore/state/JobLookup.java
@@ -39,16 +39,16 @@
   }
 
   void lookUp(String id, Consumer<JobStatus> callback) {
-    new Attempt(id, MAX_TRIES, callback).run();
+    new PendingLookup(id, MAX_TRIES, callback).run();
   }
 
-  /** One look-up, with the tries that are left. */
-  private final class Attempt {
+  /** One look-up, and how many tries are left of it. */
+  private final class PendingLookup {
     private final String id;
     private final int triesLeft;
     private final Consumer<JobStatus> callback;
 
-    Attempt(String id, int triesLeft, Consumer<JobStatus> callback) {
+    PendingLookup(String id, int triesLeft, Consumer<JobStatus> callback) {
       this.id = id;
       this.triesLeft = triesLeft;
       this.callback = callback;
@@ -111,7 +111,7 @@
         callback.accept(JobStatus.OPEN);
       } else {
         ended.get().forEach(cache::dropOpenJob);
-        outcomes.readAll(ended.get(), read -> new Attempt(id, triesLeft - 1, callback).run());
+        outcomes.readAll(ended.get(), read -> new PendingLookup(id, triesLeft - 1, callback).run());
       }
     }
   }
--- a/src/main/java/org/saffronshore/state/JobReader.java
+++ b/src/main/java/org/saffronshore/state/JobReader.java
@@ -1,5 +1,6 @@
 package org.saffronshore.state;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
@@ -34,7 +35,7 @@
         RequestPriority.NORMAL,
         result -> {
           if (result.isFound()) {
-            putOpenJob(id, new StoredEntry(Keys.openJob(id), result.value(), result.version()));
+            putOpenJob(id, result.value(), result.version());
             callback.accept(JobStatus.OPEN);
           } else if (result.isMissing()) {
             cache.dropOpenJob(id);
@@ -45,9 +46,8 @@
         });
   }
 
-  private void putOpenJob(String id, StoredEntry stored) {
-    cache.putOpenJob(
-        id, new JobCache.OpenJob(stored.version(), JobRecord.parseDependencies(stored.value())));
+  private void putOpenJob(String id, JsonNode stored, long version) {
+    cache.putOpenJob(id, new JobCache.OpenJob(version, JobRecord.parseDependencies(stored)));
   }
 
   /**
@@ -104,7 +104,7 @@
     for (StoredEntry entry : listing.entries()) {
       String id = Keys.idOf(entry.key());
       open.add(id);
-      putOpenJob(id, entry);
+      putOpenJob(id, entry.value(), entry.version());
     }
     return open;
   }
--- a/src/main/java/org/saffronshore/state/JobStatus.java
+++ b/src/main/java/org/saffronshore/state/JobStatus.java
@@ -11,7 +11,9 @@
   /** It was accepted and has no outcome. */
   OPEN,
 
+  /** All of its tasks are finished. */
   DONE,
 
+  /** A user cancelled it, or a job that it depends on. */
   CANCELLED
 }
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -10,7 +10,7 @@
 
 /**
  * Jobs as users see them: submissions, look-ups and cancellations, for which every controller uses
- * the state service itself, so that none gives an older answer than another one did. Only facts
+ * the state service itself, so that none returns an older status than another one did. Only facts
  * that never change are cached.
  */
 public final class JobStore {
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The cancellations that this process learned of within the time that one may take. All that
-   * users were told of by this process are among them.
+   * The cancellations that this process learned of within the time that one may take. Those that
+   * this process has confirmed to users are among them.
    */
   public List<String> recentlyCancelled() {
     return cancellations.recent();
--- a/src/main/java/org/saffronshore/state/OutcomeReader.java
+++ b/src/main/java/org/saffronshore/state/OutcomeReader.java
@@ -39,13 +39,13 @@
         result ->
             callback.accept(
                 switch (result.presence()) {
-                  case FOUND -> parse(id, result.value());
+                  case FOUND -> parseAndRecord(id, result.value());
                   case MISSING -> JobOutcome.NOT_FOUND;
                   case UNKNOWN -> JobOutcome.UNKNOWN;
                 }));
   }
 
-  private JobOutcome parse(String id, JsonNode stored) {
+  private JobOutcome parseAndRecord(String id, JsonNode stored) {
     JobOutcome outcome = JobOutcome.parse(stored);
     if (outcome.status() != JobStatus.UNKNOWN) {
       onOutcome.accept(id, outcome.status());
@@ -98,7 +98,7 @@
     for (StoredEntry entry : page.entries()) {
       String id = Keys.idOf(entry.key());
       if (remaining.remove(id)) {
-        outcomes.put(id, parse(id, entry.value()));
+        outcomes.put(id, parseAndRecord(id, entry.value()));
       }
     }
     while (!remaining.isEmpty()
--- a/src/main/java/org/saffronshore/state/StateClient.java
+++ b/src/main/java/org/saffronshore/state/StateClient.java
@@ -19,8 +19,8 @@
  */
 public final class StateClient {
   /**
-   * The time limit of a request, in seconds. Users wait two seconds for the answer to a question;
-   * this leaves a controller time to say that it has none.
+   * The time limit of a request, in seconds. Users wait two seconds for a response; this leaves a
+   * controller time to send one without a result.
    */
   public static final double TIMEOUT_S = 1.5;
 
