--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
 import org.saffronshore.http.EventLoop;
@@ -244,7 +245,7 @@
   /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
   public Map<String, Team> teams(SchedulingSettings tuning, Map<String, Double> weights) {
     Map<String, Team> teams = new HashMap<>();
-    for (Settings.TeamQuota t : settings.teams().values()) {
+    for (TeamQuota t : settings.teams().values()) {
       double guarantee = t.guaranteedCpus() + t.guaranteedGpus();
       teams.put(
           t.name(), new Team(t, weights.getOrDefault(t.name(), guarantee > 0 ? guarantee : 1.0)));
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.wire.Heartbeat;
--- a/src/main/java/org/saffronshore/control/Autoscaler.java
+++ b/src/main/java/org/saffronshore/control/Autoscaler.java
@@ -13,6 +13,7 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.cluster.Machine;
+import org.saffronshore.config.Objective;
 import org.saffronshore.config.Settings;
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
@@ -268,7 +269,7 @@
   private double wishedWaitS(JobSpec job) {
     return settings.objectives().stream()
         .filter(o -> o.kind().equals("wait") && job.jobClass().equals(o.jobClass()))
-        .mapToDouble(Settings.Objective::withinS)
+        .mapToDouble(Objective::withinS)
         .min()
         .orElse(Double.POSITIVE_INFINITY);
   }
--- a/src/main/java/org/saffronshore/control/UserApi.java
+++ b/src/main/java/org/saffronshore/control/UserApi.java
@@ -7,6 +7,7 @@
 import java.util.function.Supplier;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
@@ -118,7 +119,7 @@
 
   /** Why a job can never run, or null. */
   private String findImpossibility(JobSpec job) {
-    Settings.TeamQuota team = settings.teams().get(job.team());
+    TeamQuota team = settings.teams().get(job.team());
     if (team == null) {
       return "Crew: there is no such team";
     }
--- a/src/main/java/org/saffronshore/http/Client.java
+++ b/src/main/java/org/saffronshore/http/Client.java
@@ -1,6 +1,6 @@
 package org.saffronshore.http;
 
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 
 /** Sends requests. The receiver is called exactly once, on the loop. */
 public interface Client {
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -26,7 +26,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 
 /**
  * A client that keeps idle connections for reuse. A connection carries one request at a time; after
--- a/src/main/java/org/saffronshore/http/HttpServer.java
+++ b/src/main/java/org/saffronshore/http/HttpServer.java
@@ -26,7 +26,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -1,12 +1,12 @@
 package org.saffronshore.scheduling;
 
-import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.wire.JobSpec;
 
 /** A team during one cycle: its rights, and what its tasks use or may be using. */
 public final class Team {
   private static final double EPSILON = 1e-6;
-  final Settings.TeamQuota quota;
+  final TeamQuota quota;
   final double weight;
   double cpus;
   double gpus;
@@ -23,7 +23,7 @@
 
   private final Resources possiblyHeld = new Resources(0, 0, 0);
 
-  public Team(Settings.TeamQuota quota, double weight) {
+  public Team(TeamQuota quota, double weight) {
     this.quota = quota;
     this.weight = weight;
   }
--- a/src/test/java/org/saffronshore/FakeStateService.java
+++ b/src/test/java/org/saffronshore/FakeStateService.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 import org.saffronshore.http.Client;
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
--- a/src/test/java/org/saffronshore/compatibility/StoredCluster.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredCluster.java
@@ -23,7 +23,7 @@
 import java.util.regex.Pattern;
 import org.saffronshore.FakeStateService;
 import org.saffronshore.ManualEventLoop;
-import org.saffronshore.config.Settings;
+import org.saffronshore.config.Address;
 import org.saffronshore.http.Response;
 
 /**
@@ -274,7 +274,7 @@
   }
 
   void send(
-      Settings.Address to,
+      Address to,
       String method,
       String path,
       byte[] body,
--- a/src/test/java/org/saffronshore/config/SettingsTest.java
+++ b/src/test/java/org/saffronshore/config/SettingsTest.java
@@ -31,16 +31,17 @@
         "/cluster | cloud | null | cluster.cloud",
         "/cluster | teams | [{\"name\":\"x\"},{\"name\":\"x\"}] | cluster.teams[1].name"
       })
-  void namesTheFieldThatIsWrong(String at, String field, String value, String named) {
+  void parsingFailsNamingTheFieldThatIsInvalid(
+      String objectPath, String field, String value, String namedField) {
     ObjectNode root = TestData.settingsJson();
-    ObjectNode object = at.equals("/") ? root : (ObjectNode) root.at(at);
+    ObjectNode object = objectPath.equals("/") ? root : (ObjectNode) root.at(objectPath);
     object.set(field, Json.parse(value.getBytes(UTF_8)));
     assertEquals(
-        named, assertThrows(InvalidFieldException.class, () -> Settings.parse(root)).field());
+        namedField, assertThrows(InvalidFieldException.class, () -> Settings.parse(root)).field());
   }
 
   @Test
-  void ignoresUnknownFieldsAndTakesNullables() throws InvalidFieldException {
+  void unknownFieldsAreIgnoredAndOptionalOnesMayBeNullOrAbsent() throws InvalidFieldException {
     ObjectNode root = TestData.settingsJson();
     root.putNull("area");
     ((ObjectNode) root.at("/cluster")).remove("objectives");
@@ -49,7 +50,7 @@
     assertTrue(settings.objectives().isEmpty());
   }
 
-  /** Sizes keep to the smaller of now and later; rates are known for when they come. */
+  /** Expected are: value size, writes in a transaction, next request rate, next write rate. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -59,18 +60,19 @@
         "{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":35} | 2 4 300 35",
         "{\"value_kb\":32,\"txn_ops\":99,\"rps\":7} | 16 8 7 300"
       })
-  void knowsTheLimitsThatAreToCome(String next, String expected) throws InvalidFieldException {
+  void sizeLimitsAreTheSmallerOfNowAndNextWhileRatesAreKeptApart(String next, String expected)
+      throws InvalidFieldException {
     ObjectNode root = TestData.settingsJson();
     root.withObject("/cluster/state").set("next", Json.parse(next.getBytes(UTF_8)));
-    Settings s = Settings.parse(root);
+    Settings settings = Settings.parse(root);
     assertEquals(
         expected,
-        (int) s.maxValueKb()
+        (int) settings.maxValueKb()
             + " "
-            + s.maxTransactionWrites()
+            + settings.maxTransactionWrites()
             + " "
-            + (int) s.nextStateRequestsPerS()
+            + (int) settings.nextStateRequestsPerS()
             + " "
-            + (int) s.nextStateWritesPerS());
+            + (int) settings.nextStateWritesPerS());
   }
 }
--- a/src/test/java/org/saffronshore/control/ControllerTest.java
+++ b/src/test/java/org/saffronshore/control/ControllerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.saffronshore.TestData;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Priority;
 
--- a/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
+++ b/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.saffronshore.TestData;
 import org.saffronshore.admin.Metrics;
-import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.scheduling.PendingJob;
 import org.saffronshore.scheduling.SchedulingCycle;
 import org.saffronshore.scheduling.SchedulingPlan;
@@ -24,7 +24,7 @@
 class QuotaMetricsTest {
   private final Metrics metrics = new Metrics();
   private final QuotaMetrics teamMetrics = new QuotaMetrics(metrics, List.of("red", "blue"));
-  private final Team red = new Team(new Settings.TeamQuota("red", 0, 16, 0, 0), 1);
+  private final Team red = new Team(new TeamQuota("red", 0, 16, 0, 0), 1);
 
   private void cycle() {
     JobSpec waits = TestData.job("wk-9", "red", Priority.STANDARD, 2, 4);
--- a/src/test/java/org/saffronshore/http/HttpTest.java
+++ b/src/test/java/org/saffronshore/http/HttpTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.saffronshore.config.Settings.Address;
+import org.saffronshore.config.Address;
 
 /** The server and the client against each other, over loopback. */
 @SuppressWarnings("FutureReturnValueIgnored") // The groups end with the test process.
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.saffronshore.TestData;
-import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
@@ -32,9 +32,7 @@
 
   private void team(String name, double guarantee, double most) {
     teams.put(
-        name,
-        new Team(
-            new Settings.TeamQuota(name, guarantee, most, 0, 0), guarantee > 0 ? guarantee : 1));
+        name, new Team(new TeamQuota(name, guarantee, most, 0, 0), guarantee > 0 ? guarantee : 1));
   }
 
   private MachineView host(String id, String zone, boolean spot, double cpus, TaskId... barred) {
