--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -76,7 +76,13 @@
           "state.Transaction",
           "state.OpenJobChecker",
           "state.SubmissionQueue",
+          "leadership.CampaignOutcome$Lost",
+          "leadership.CampaignOutcome$Reason",
+          "leadership.CampaignOutcome$Won",
+          "leadership.LastTerm",
           "leadership.LeaderTerm",
+          "leadership.LeaseRequest",
+          "leadership.LeaseRequest$Role",
           "leadership.StoreLease");
 
   private static final long WHILE_MS = 1_500;
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -293,7 +293,7 @@
       reply.send(200, Responder.CONTENT_TYPE_JSON, answer, 0);
       return;
     }
-    String to = leadership.leaderNode();
+    String to = leadership.leaderNode().orElse(null);
     if (to != null && redirects.shouldRelay(report.machine(), to)) {
       peers.relay(
           to,
@@ -384,7 +384,7 @@
         Json.object()
             .put("node", settings.node())
             .put("leading", leadership.isActive())
-            .put("leader", leadership.leaderNode())
+            .put("leader", leadership.leaderNode().orElse(null))
             .put("term", leadership.term())
             .put("state_serves", isStateServiceAvailable());
     if (leader != null) {
--- a/src/main/java/org/saffronshore/control/PeerLink.java
+++ b/src/main/java/org/saffronshore/control/PeerLink.java
@@ -17,6 +17,8 @@
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
 import org.saffronshore.http.Response;
+import org.saffronshore.leadership.ControllerProcess;
+import org.saffronshore.leadership.LeaseRequest;
 import org.saffronshore.leadership.PeerVoting;
 import org.saffronshore.peer.JobProgress;
 import org.saffronshore.peer.PeerMessage;
@@ -308,8 +310,9 @@
     if (isOutdated(message)) {
       return new PeerResponse(self, false, null);
     }
+    ControllerProcess sender = new ControllerProcess(message.node(), message.incarnation());
     if (withdrawn) {
-      node.leadership().recordWithdrawal(message.node(), message.incarnation(), message.term());
+      node.leadership().recordWithdrawal(sender, message.term());
       return new PeerResponse(self, false, null);
     }
     if (path.equals(HEARTBEAT)) {
@@ -319,11 +322,11 @@
         message.term() != PeerMessage.NO_TERM
             && node.leadership()
                 .grantLease(
-                    message.node(),
-                    message.incarnation(),
-                    message.term(),
-                    candidate,
-                    message.stateServiceAvailable(),
+                    new LeaseRequest(
+                        sender,
+                        message.term(),
+                        candidate ? LeaseRequest.Role.CANDIDATE : LeaseRequest.Role.LEADER,
+                        message.stateServiceAvailable()),
                     node.isStateServiceAvailable());
     return new PeerResponse(self, granted, leads ? cancellations() : null);
   }
--- /dev/null
+++ b/src/main/java/org/saffronshore/leadership/ControllerProcess.java
@@ -0,0 +1,9 @@
+package org.saffronshore.leadership;
+
+/**
+ * One process of a controller.
+ *
+ * @param node the name of the controller
+ * @param incarnation distinguishes the process from earlier ones of the same controller
+ */
+public record ControllerProcess(String node, String incarnation) {}
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -4,6 +4,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
@@ -12,120 +13,150 @@
 
 /**
  * Requests votes through the state service, for when the controllers do not reach one another
- * although it serves them. A candidate writes down its request. The others find it when they want
- * to campaign themselves, grant it their leases as they would if it had asked them directly, and
- * write down their votes. A vote for an earlier request does not count.
+ * although it serves them. A candidate writes its request. The others find it when they want to
+ * campaign themselves, grant their leases as they would if requested directly, and write their
+ * votes. A vote for an earlier request does not count.
  */
 final class StateServiceVoting {
-  private static final int LOOKS = 5;
+  /** In a round the votes are read at most so many times, at equal intervals. */
+  private static final int READS_PER_ROUND = 5;
 
-  /** After this many readings without a change, the candidate of a request counts as gone. */
-  private static final int STALE = 3;
+  /** A request that was read so many times without a change is taken as abandoned. */
+  private static final int MAX_UNCHANGED_READS = 3;
 
-  /** Grants this node's lease to an incarnation of another one. */
+  /** Grants the lease of this controller. */
   @FunctionalInterface
   interface Granter {
-    boolean grant(String node, String life, long term);
+    boolean grant(ControllerProcess candidate, long term);
   }
 
   private final EventLoop loop;
   private final StateClient state;
-  private final String node;
-  private final String incarnation;
-  private final double roundS;
-  private long requests;
-  private VoteRequest lastSeen;
-  private int seen;
+  private final ControllerProcess self;
+  private final double roundDurationS;
+  private final Granter granter;
+  private long requestCount;
+  private @Nullable VoteRequest lastOtherRequest;
+  private int unchangedReads;
 
   StateServiceVoting(
-      EventLoop loop, StateClient state, String node, String incarnation, double roundS) {
+      EventLoop loop,
+      StateClient state,
+      ControllerProcess self,
+      double roundDurationS,
+      Granter granter) {
     this.loop = loop;
     this.state = state;
-    this.node = node;
-    this.incarnation = incarnation;
-    this.roundS = roundS;
+    this.self = self;
+    this.roundDurationS = roundDurationS;
+    this.granter = granter;
   }
 
-  /** Tells which nodes voted for this one; none when another candidate has precedence. */
-  void requestVotes(
-      long term, Granter granter, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
+  /**
+   * Requests votes, or votes for another candidate that has precedence.
+   *
+   * @param isQuorum whether the controllers that have voted so far are enough
+   * @param onVoters is called once with the controllers that voted for this one; with none where
+   *     another candidate has precedence or the state service did not take the request
+   */
+  void requestVotes(long term, Predicate<Set<String>> isQuorum, Consumer<Set<String>> onVoters) {
     state.get(
         Keys.VOTE_REQUEST,
         true,
         key -> {
           if (key.isUnknown()) {
-            then.accept(Set.of());
+            onVoters.accept(Set.of());
             return;
           }
           VoteRequest other = key.isFound() ? VoteRequest.parse(key.value()) : null;
           if (other != null && hasPrecedence(other, term)) {
-            vote(other, key.version(), granter, () -> then.accept(Set.of()));
+            vote(other, key.version(), () -> onVoters.accept(Set.of()));
           } else {
-            request(term, key.version(), enough, then);
+            writeRequest(term, key.version(), isQuorum, onVoters);
           }
         });
   }
 
   /** Of two candidates the lesser name has precedence, as long as it keeps requesting. */
   private boolean hasPrecedence(VoteRequest other, long term) {
-    if (other.node() == null || other.node().compareTo(node) >= 0 || other.term() != term) {
+    if (other.node() == null || other.node().compareTo(self.node()) >= 0 || other.term() != term) {
       return false;
     }
-    seen = other.equals(lastSeen) ? seen + 1 : 1;
-    lastSeen = other;
-    return seen <= STALE;
+    unchangedReads = other.equals(lastOtherRequest) ? unchangedReads + 1 : 1;
+    lastOtherRequest = other;
+    return unchangedReads <= MAX_UNCHANGED_READS;
   }
 
-  private void vote(VoteRequest other, long version, Granter granter, Runnable then) {
+  private void vote(VoteRequest other, long requestVersion, Runnable onWritten) {
     if (other.incarnation() == null
-        || !granter.grant(other.node(), other.incarnation(), other.term())) {
-      then.run();
+        || !granter.grant(new ControllerProcess(other.node(), other.incarnation()), other.term())) {
+      onWritten.run();
       return;
     }
-    // If it is carried out late, it must not replace a vote for a later request.
-    Transaction txn =
+    // A vote that is carried out late must not replace one for a later request.
+    Transaction transaction =
         new Transaction()
-            .expectVersion(Keys.VOTE_REQUEST, version)
-            .put(Keys.vote(node), other.toVote());
-    state.commit(txn, true, result -> then.run());
+            .expectVersion(Keys.VOTE_REQUEST, requestVersion)
+            .put(Keys.vote(self.node()), other.toVote());
+    state.commit(transaction, true, result -> onWritten.run());
   }
 
-  private void request(
-      long term, long version, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
-    VoteRequest request = new VoteRequest(node, incarnation, term, ++requests);
-    Transaction txn =
+  private void writeRequest(
+      long term,
+      long previousVersion,
+      Predicate<Set<String>> isQuorum,
+      Consumer<Set<String>> onVoters) {
+    VoteRequest request = new VoteRequest(self.node(), self.incarnation(), term, ++requestCount);
+    Transaction transaction =
         new Transaction()
-            .expectVersion(Keys.VOTE_REQUEST, version)
+            .expectVersion(Keys.VOTE_REQUEST, previousVersion)
             .put(Keys.VOTE_REQUEST, request.toJson());
     state.commit(
-        txn,
+        transaction,
         true,
         result -> {
           if (result.isCommitted()) {
-            loop.schedule(roundS / LOOKS, () -> readVotes(request, 1, enough, then));
+            scheduleRead(request, 1, isQuorum, onVoters);
           } else {
-            then.accept(Set.of());
+            onVoters.accept(Set.of());
           }
         });
   }
 
+  private void scheduleRead(
+      VoteRequest request,
+      int read,
+      Predicate<Set<String>> isQuorum,
+      Consumer<Set<String>> onVoters) {
+    loop.schedule(
+        roundDurationS / READS_PER_ROUND, () -> readVotes(request, read, isQuorum, onVoters));
+  }
+
   private void readVotes(
-      VoteRequest request, int looks, Predicate<Set<String>> enough, Consumer<Set<String>> then) {
+      VoteRequest request,
+      int read,
+      Predicate<Set<String>> isQuorum,
+      Consumer<Set<String>> onVoters) {
     state.list(
         Keys.VOTES,
         true,
         votes -> {
-          Set<String> granted = new HashSet<>();
-          if (votes != null) {
-            votes.entries().stream()
-                .filter(entry -> request.isVotedForBy(entry.value()))
-                .forEach(entry -> granted.add(entry.key().substring(Keys.VOTES.length())));
-          }
-          if (enough.test(granted) || looks >= LOOKS) {
-            then.accept(granted);
+          Set<String> voters = votes == null ? Set.of() : votersFor(request, votes);
+          if (isQuorum.test(voters) || read >= READS_PER_ROUND) {
+            onVoters.accept(voters);
           } else {
-            loop.schedule(roundS / LOOKS, () -> readVotes(request, looks + 1, enough, then));
+            scheduleRead(request, read + 1, isQuorum, onVoters);
           }
         });
   }
+
+  private static Set<String> votersFor(VoteRequest request, StateClient.Listing votes) {
+    Set<String> voters = new HashSet<>();
+    for (StateClient.Entry vote : votes.entries()) {
+      if (request.isVotedForBy(vote.value())) {
+        voters.add(vote.key().substring(Keys.VOTES.length()));
+      }
+    }
+    return voters;
+  }
 }
--- a/src/main/java/org/saffronshore/leadership/StoreLease.java
+++ b/src/main/java/org/saffronshore/leadership/StoreLease.java
@@ -6,12 +6,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's lease of the state service, renewed until it is released or has expired. */
+/** The leader's lease in the state service, renewed until it is revoked or has expired. */
 final class StoreLease {
   private static final Logger LOG = LoggerFactory.getLogger(StoreLease.class);
-  private static final double RENEWALS_PER_LIFE = 4;
+  private static final double RENEWALS_PER_LEASE = 4;
 
-  /** The pause after a failed renewal, as a share of the lease's life. */
+  /** The delay after a renewal that failed, as a share of the lease's duration. */
   private static final double RETRY_SHARE = 1.0 / 20;
 
   private final EventLoop loop;
@@ -24,6 +24,9 @@
   /** Which lease a scheduled renewal belongs to; renewals of earlier ones are dropped. */
   private int generation;
 
+  /**
+   * @param onExpired is called when the state service says that the lease has expired
+   */
   StoreLease(EventLoop loop, StateClient state, double durationS, Runnable onExpired) {
     this.loop = loop;
     this.state = state;
@@ -31,56 +34,63 @@
     this.onExpired = onExpired;
   }
 
-  /** Keeps a lease that was requested at that moment. */
-  void begin(long leaseId, double requestedAt) {
+  /** Renews a lease from now on that was requested at that moment. */
+  void start(long leaseId, double requestedAt) {
     id = leaseId;
     validUntil = requestedAt + Settings.minLocalDuration(durationS);
     generation++;
-    renewAfter(durationS / RENEWALS_PER_LIFE, generation);
+    scheduleRenewal(durationS / RENEWALS_PER_LEASE, generation);
   }
 
-  /** Whether it provably lives, counted from when the last renewal that succeeded was sent. */
-  boolean valid() {
+  /**
+   * Whether the lease has provably not expired, counted from when the last successful renewal was
+   * sent, on a clock that may run slow.
+   */
+  boolean isValid() {
     return loop.now() < validUntil;
   }
 
-  /** Ends it at once, and tells when the state service has answered that. */
-  void release(Runnable then) {
+  /**
+   * Revokes the lease.
+   *
+   * @param onRevoked is called when the state service has responded, or the request timed out
+   */
+  void revoke(Runnable onRevoked) {
     generation++;
     validUntil = Double.NEGATIVE_INFINITY;
-    state.revokeLease(id, then);
+    state.revokeLease(id, onRevoked);
   }
 
-  private void renewAfter(double seconds, int of) {
+  private void scheduleRenewal(double delayS, int renewedGeneration) {
     loop.schedule(
-        seconds,
+        delayS,
         () -> {
-          if (of == generation) {
-            renew(of);
+          if (renewedGeneration == generation) {
+            renew(renewedGeneration);
           }
         });
   }
 
-  private void renew(int of) {
+  private void renew(int renewedGeneration) {
     double sentAt = loop.now();
     state.renewLease(
         id,
         Math.min(StateClient.TIMEOUT_S, durationS / 2),
         renewal -> {
-          if (of != generation) {
+          if (renewedGeneration != generation) {
             return;
           }
           switch (renewal) {
             case RENEWED -> {
               validUntil = Math.max(validUntil, sentAt + Settings.minLocalDuration(durationS));
-              renewAfter(durationS / RENEWALS_PER_LIFE, of);
+              scheduleRenewal(durationS / RENEWALS_PER_LEASE, renewedGeneration);
             }
             case EXPIRED -> onExpired.run();
             default -> {
-              // Not the end yet, even when it is not valid any more: after an outage of the state
-              // service every lease has its full time again.
-              LOG.debug("a renewal failed; lease valid: {}", valid());
-              renewAfter(durationS * RETRY_SHARE, of);
+              // The retry is worth it even when the lease is not valid any more: after an outage
+              // the state service gives every lease its full duration again.
+              LOG.debug("Lease renewal failed: lease={} valid={}", id, isValid());
+              scheduleRenewal(durationS * RETRY_SHARE, renewedGeneration);
             }
           }
         });
--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,7 +21,7 @@
   void oneOfThreeLeadsAndTheOthersKnowIt() {
     three();
     assertEquals(1, isActive());
-    String leader = leader().leadership.leaderNode();
+    Optional<String> leader = Optional.of(leader().name);
     assertTrue(all.stream().allMatch(c -> leader.equals(c.leadership.leaderNode())));
   }
 
@@ -135,34 +136,37 @@
     assertTrue(one.leadership.isActive());
   }
 
+  private StateServiceVoting stateServiceVoting(String node, String incarnation) {
+    return new StateServiceVoting(
+        loop,
+        new StateClient(loop, service, TestData.settings()),
+        new ControllerProcess(node, incarnation),
+        LIFE_S,
+        (candidate, term) -> true);
+  }
+
   /**
    * What a candidate wrote to ask for votes, carried out late, must not take the place of a later
    * call, nor a vote.
    */
   @Test
   void lateVoteRequestsAndVotesChangeNothing() {
-    StateServiceVoting late =
-        new StateServiceVoting(
-            loop, new StateClient(loop, service, TestData.settings()), "n-5", "x", LIFE_S);
-    StateServiceVoting second =
-        new StateServiceVoting(
-            loop, new StateClient(loop, service, TestData.settings()), "n-6", "y", LIFE_S);
+    StateServiceVoting late = stateServiceVoting("n-5", "x");
+    StateServiceVoting second = stateServiceVoting("n-6", "y");
     service.held = (method, path) -> path.equals("/commit");
-    late.requestVotes(7, (node, life, term) -> true, granted -> true, granted -> {});
+    late.requestVotes(7, granted -> true, granted -> {});
     loop.pass(0.1);
     service.held = (method, path) -> false;
-    second.requestVotes(8, (node, life, term) -> true, granted -> false, granted -> {});
+    second.requestVotes(8, granted -> false, granted -> {});
     loop.pass(0.1);
     service.deliverLate();
     assertEquals("n-6", service.value(Keys.VOTE_REQUEST).path("Node").asText());
     service.held = (method, path) -> path.equals("/commit");
-    StateServiceVoting voter =
-        new StateServiceVoting(
-            loop, new StateClient(loop, service, TestData.settings()), "n-7", "z", LIFE_S);
-    voter.requestVotes(8, (node, life, term) -> true, granted -> false, granted -> {});
+    StateServiceVoting voter = stateServiceVoting("n-7", "z");
+    voter.requestVotes(8, granted -> false, granted -> {});
     loop.pass(0.1);
     service.held = (method, path) -> false;
-    second.requestVotes(9, (node, life, term) -> true, granted -> false, granted -> {});
+    second.requestVotes(9, granted -> false, granted -> {});
     loop.pass(0.1);
     service.deliverLate();
     assertNull(service.value(Keys.vote("n-7")), "it was for a call that does not stand any more");
--- a/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
@@ -136,7 +136,7 @@
         double askedAt = loop.now();
         for (Candidate peer : launchMarkSaved()) {
           if (peer.leadership.grantLease(
-              name, leadership.incarnation(), leadership.term(), false, served(), peer.served())) {
+              request(leadership.term(), LeaseRequest.Role.LEADER, served()), peer.served())) {
             leadership.recordGrant(peer.name, askedAt);
           }
         }
@@ -144,6 +144,14 @@
       schedule(LIFE_S / 6, this::sendHeartbeat);
     }
 
+    private ControllerProcess process() {
+      return new ControllerProcess(name, leadership.incarnation());
+    }
+
+    private LeaseRequest request(long term, LeaseRequest.Role role, boolean stateServiceAvailable) {
+      return new LeaseRequest(process(), term, role, stateServiceAvailable);
+    }
+
     @Override
     public void requestVotes(long term, Predicate<List<Vote>> enough, Consumer<List<Vote>> then) {
       // What was overtaken by a later message of the same process is not heeded.
@@ -173,7 +181,7 @@
                       peer.name,
                       peer.leadership.incarnation(),
                       peer.leadership.grantLease(
-                          name, leadership.incarnation(), term, true, served(), peer.served()));
+                          request(term, LeaseRequest.Role.CANDIDATE, served()), peer.served()));
               loop.schedule(
                   0.02 * random.nextDouble(),
                   () ->
@@ -200,7 +208,7 @@
                       () -> {
                         if (dead) {
                           peer.leadership.grantLease(
-                              name, leadership.incarnation(), term, true, true, peer.served());
+                              request(term, LeaseRequest.Role.CANDIDATE, true), peer.served());
                         }
                       }));
     }
@@ -208,8 +216,7 @@
     @Override
     public void withdraw(long term) {
       calls++;
-      launchMarkSaved()
-          .forEach(peer -> peer.leadership.recordWithdrawal(name, leadership.incarnation(), term));
+      launchMarkSaved().forEach(peer -> peer.leadership.recordWithdrawal(process(), term));
     }
 
     @Override
--- a/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
@@ -10,21 +10,24 @@
 import org.saffronshore.ManualEventLoop;
 
 class LeaseGrantsTest {
-  private static final double LENGTH_S = 10;
+  private static final double LEASE_DURATION_S = 10;
+  private static final ControllerProcess HOLDER = new ControllerProcess("n-1", "x");
+  private static final ControllerProcess OTHER = new ControllerProcess("n-2", "z");
+
   private final ManualEventLoop loop = new ManualEventLoop();
-  private final LeaseGrants leaseGrants = new LeaseGrants(loop, LENGTH_S, 3);
+  private final LeaseGrants leaseGrants = new LeaseGrants(loop, LEASE_DURATION_S);
 
-  /** A restarted controller does not know what it gave before. */
+  /** A restarted controller does not know what it granted before. */
   @Test
-  void givesNothingUntilForgottenTimeIsOver() {
-    assertFalse(leaseGrants.grant("n-1", "x", 5));
-    loop.pass(LENGTH_S);
-    assertFalse(leaseGrants.grant("n-1", "x", 5), "the clock of the one who holds it may run slow");
+  void nothingIsGrantedUntilLeasesOfAnEarlierIncarnationAreOver() {
+    assertFalse(leaseGrants.grant(HOLDER, 5));
+    loop.pass(LEASE_DURATION_S);
+    assertFalse(leaseGrants.grant(HOLDER, 5), "the clock of the holder may run slow");
     loop.pass(0.1);
-    assertTrue(leaseGrants.grant("n-1", "x", 5));
+    assertTrue(leaseGrants.grant(HOLDER, 5));
   }
 
-  /** Term 5 was given to life x of n-1 some seconds ago; who asks now, and does it get time? */
+  /** The lease was granted to incarnation x of n-1 for term 5, some seconds before this request. */
   @ParameterizedTest
   @CsvSource({
     "1, n-1, x, 5, true",
@@ -36,33 +39,36 @@
     "11, n-2, z, 5, true",
     "11, n-1, x, 4, false"
   })
-  void givesOneAtATime(double later, String node, String life, long term, boolean granted) {
-    loop.pass(LENGTH_S * 2);
-    assertTrue(leaseGrants.grant("n-1", "x", 5));
-    loop.pass(later);
-    assertEquals(granted, leaseGrants.grant(node, life, term));
+  void leaseIsGrantedToOneProcessAtATimeAndNeverForAnEarlierTerm(
+      double secondsLater, String node, String incarnation, long term, boolean granted) {
+    loop.pass(LEASE_DURATION_S * 2);
+    assertTrue(leaseGrants.grant(HOLDER, 5));
+    loop.pass(secondsLater);
+    assertEquals(granted, leaseGrants.grant(new ControllerProcess(node, incarnation), term));
   }
 
   @Test
-  void whoGivesUpFreesTheTime() {
-    loop.pass(LENGTH_S * 2);
-    leaseGrants.grant("n-1", "x", 5);
-    leaseGrants.withdraw("n-2", "z", 5);
-    assertFalse(leaseGrants.grant("n-2", "z", 6));
-    leaseGrants.withdraw("n-1", "x", 5);
-    assertTrue(leaseGrants.grant("n-2", "z", 6));
+  void withdrawalOfTheHolderFreesTheLeaseAndOneOfAnotherDoesNot() {
+    loop.pass(LEASE_DURATION_S * 2);
+    leaseGrants.grant(HOLDER, 5);
+    leaseGrants.withdraw(OTHER, 5);
+    assertFalse(leaseGrants.grant(OTHER, 6));
+    leaseGrants.withdraw(HOLDER, 5);
+    assertTrue(leaseGrants.grant(OTHER, 6));
   }
 
   @Test
-  void holdsFromWhenItAsked() {
-    assertFalse(loop.now() < leaseGrants.quorumLeaseUntil());
-    double asked = loop.now();
-    leaseGrants.held("n-1", asked);
-    assertTrue(leaseGrants.quorumLeaseUntil() < asked + LENGTH_S);
-    leaseGrants.held("n-1", asked - 5);
+  void quorumLeaseCountsFromWhenTheLatestGrantedRequestWasSent() {
+    QuorumLease quorumLease = new QuorumLease(LEASE_DURATION_S, new Quorum(3));
+    assertFalse(loop.now() < quorumLease.validUntil());
+    double requestedAt = loop.now();
+    quorumLease.recordGrant("n-1", requestedAt);
+    assertTrue(quorumLease.validUntil() < requestedAt + LEASE_DURATION_S);
+    quorumLease.recordGrant("n-1", requestedAt - 5);
     assertTrue(
-        loop.now() + LENGTH_S * 0.99 < leaseGrants.quorumLeaseUntil(),
-        "an older answer takes nothing away");
-    assertEquals(Double.POSITIVE_INFINITY, new LeaseGrants(loop, LENGTH_S, 1).quorumLeaseUntil());
+        loop.now() + LEASE_DURATION_S * 0.99 < quorumLease.validUntil(),
+        "a response to an earlier request takes nothing away");
+    QuorumLease ofOneController = new QuorumLease(LEASE_DURATION_S, new Quorum(1));
+    assertEquals(Double.POSITIVE_INFINITY, ofOneController.validUntil());
   }
 }
