--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.saffronshore.leadership.SimulatedController.LEASE_DURATION_S;
 
 import java.util.List;
 import java.util.Optional;
@@ -15,125 +16,126 @@
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
 
-/** Who leads, and that never two do at once. */
+/** Elections among simulated controllers: one leads, and two are never active at once. */
 class LeadershipTest extends LeadershipTestBase {
   @Test
-  void oneOfThreeLeadsAndTheOthersKnowIt() {
-    three();
-    assertEquals(1, isActive());
-    Optional<String> leader = Optional.of(leader().name);
-    assertTrue(all.stream().allMatch(c -> leader.equals(c.leadership.leaderNode())));
+  void oneOfThreeControllersLeadsAndAllOfThemKnowIt() {
+    startThreeControllers();
+    assertEquals(1, activeLeaderCount());
+    Optional<String> leader = Optional.of(activeLeader().node);
+    assertTrue(
+        controllers.stream()
+            .allMatch(controller -> leader.equals(controller.leadership.leaderNode())));
   }
 
-  /** A leader that the state service refuses alone stops acting before the next one begins. */
+  /** The leader stops acting before the next one begins, whether its peers are reachable or not. */
   @Test
-  void neverTwoAtOnce() {
-    three();
+  void twoLeadersAreNeverActiveWhenTheStateServiceRefusesTheLeaderAlone() {
+    startThreeControllers();
     for (int round = 0; round < 8; round++) {
-      Candidate leader = leader();
-      leader.cut = true;
-      leader.unresponsive = round % 2 == 0;
-      for (int step = 0; step < 500; step++) {
-        loop.pass(LIFE_S / 100);
-        assertTrue(isActive() <= 1);
-      }
+      SimulatedController leader = activeLeader();
+      leader.cutFromStateService = true;
+      leader.cutFromPeers = round % 2 == 0;
+      passCheckingLeaders(500, LEASE_DURATION_S / 100);
       assertFalse(leader.leadership.isActive());
-      assertEquals(1, isActive(), "the others agree although they stand at the same time");
-      leader.cut = false;
-      leader.unresponsive = false;
-      loop.pass(LIFE_S * 2);
+      assertEquals(
+          1,
+          activeLeaderCount(),
+          "the others elect a leader although they campaign at the same time");
+      leader.cutFromStateService = false;
+      leader.cutFromPeers = false;
+      loop.pass(LEASE_DURATION_S * 2);
     }
-    long terms = all.stream().mapToLong(c -> c.terms.size()).sum();
+    long terms = controllers.stream().mapToLong(controller -> controller.termsLed.size()).sum();
     assertEquals(
         terms,
-        all.stream().flatMap(c -> c.terms.stream()).distinct().count(),
+        controllers.stream().flatMap(controller -> controller.termsLed.stream()).distinct().count(),
         "no term is led twice");
   }
 
   /**
-   * The state service is away for everybody: the leader goes on while a majority lets it, and in
-   * its term after.
+   * While the state service is unavailable to all controllers, the leader acts on the leases of a
+   * quorum. After the outage it continues in the same term.
    */
   @Test
-  void outlivesAnOutageOnTheLeasesOfAQuorum() {
-    three();
-    Candidate leader = leader();
-    leader.leadership.allowRenewalsUntil(loop.now() + LIFE_S * 10);
+  void leaderStaysActiveInAnOutageOnTheLeasesOfAQuorum() {
+    startThreeControllers();
+    SimulatedController leader = activeLeader();
+    leader.leadership.allowRenewalsUntil(loop.now() + LEASE_DURATION_S * 10);
     service.away = (method, path) -> true;
-    loop.pass(LIFE_S * 4);
+    loop.pass(LEASE_DURATION_S * 4);
     assertTrue(leader.leadership.isActive());
-    service.outlive(LIFE_S * 4);
+    service.outlive(LEASE_DURATION_S * 4);
     service.away = (method, path) -> false;
-    loop.pass(LIFE_S);
+    loop.pass(LEASE_DURATION_S);
     assertTrue(leader.leadership.isActive());
-    assertEquals(1, all.stream().mapToInt(c -> c.terms.size()).sum());
+    assertEquals(1, controllers.stream().mapToInt(controller -> controller.termsLed.size()).sum());
   }
 
   @Test
-  void stepsDownInAnOutageWithoutAQuorumOrBeyondItsBound() {
-    three();
-    Candidate leader = leader();
-    leader.leadership.allowRenewalsUntil(loop.now() + LIFE_S * 3);
+  void leaderStopsInAnOutageWithoutAQuorumOrBeyondItsRenewalBound() {
+    startThreeControllers();
+    SimulatedController leader = activeLeader();
+    leader.leadership.allowRenewalsUntil(loop.now() + LEASE_DURATION_S * 3);
     service.away = (method, path) -> true;
-    loop.pass(LIFE_S * 2);
+    loop.pass(LEASE_DURATION_S * 2);
     assertTrue(leader.leadership.isActive());
-    leader.unresponsive = true;
-    loop.pass(LIFE_S * 0.9);
-    leader.unresponsive = false;
-    loop.pass(LIFE_S / 2);
-    assertFalse(
-        leader.leadership.isActive(), "cancellations may have been unknown to it for too long");
+    leader.cutFromPeers = true;
+    loop.pass(LEASE_DURATION_S * 0.9);
+    leader.cutFromPeers = false;
+    loop.pass(LEASE_DURATION_S / 2);
+    assertFalse(leader.leadership.isActive(), "it may have missed cancellations for too long");
   }
 
-  /**
-   * The process that held the key is over, so its next life need not wait for the lease to run out.
-   */
+  /** The process that held the key has ended, so its next incarnation revokes the lease. */
   @Test
-  void theNextIncarnationOfTheLeaderTakesOverAtOnce() {
-    Candidate first = new Candidate("n-0", 1);
-    loop.pass(LIFE_S);
-    first.cut = true;
-    Candidate second = new Candidate("n-0", 9);
-    loop.pass(LIFE_S / 4);
+  void nextIncarnationOfTheLeaderTakesOverBeforeTheLeaseExpires() {
+    SimulatedController first = startController("n-0", 1);
+    loop.pass(LEASE_DURATION_S);
+    first.cutFromStateService = true;
+    SimulatedController second = startController("n-0", 9);
+    loop.pass(LEASE_DURATION_S / 4);
     assertTrue(second.leadership.isActive());
-    assertEquals(List.of(2L), second.terms);
+    assertEquals(List.of(2L), second.termsLed);
   }
 
   /**
-   * No controller reaches another, and the state service refuses the leader alone: the others agree
-   * through it.
+   * No controller reaches another, and the state service refuses the leader alone: the others vote
+   * through the state service.
    */
   @Test
-  void agreesThroughTheStateServiceWhenPeersAreOutOfReach() {
-    three();
+  void votesGoThroughTheStateServiceWhenPeersAreUnreachable() {
+    startThreeControllers();
     for (int round = 0; round < 4; round++) {
-      Candidate leader = leader();
-      all.forEach(c -> c.unresponsive = true);
-      leader.cut = true;
-      double without = timeWithoutLeader(500, LIFE_S / 100);
-      assertEquals(1, isActive());
-      assertTrue(leader() != leader && without < 2 * LIFE_S, "nobody led for " + without + " s");
-      leader.cut = false;
-      all.forEach(c -> c.unresponsive = false);
-      loop.pass(LIFE_S * 2);
+      SimulatedController leader = activeLeader();
+      controllers.forEach(controller -> controller.cutFromPeers = true);
+      leader.cutFromStateService = true;
+      double withoutLeaderS = timeWithoutLeader(500, LEASE_DURATION_S / 100);
+      assertEquals(1, activeLeaderCount());
+      assertTrue(
+          activeLeader() != leader && withoutLeaderS < 2 * LEASE_DURATION_S,
+          "no leader for " + withoutLeaderS + " s");
+      leader.cutFromStateService = false;
+      controllers.forEach(controller -> controller.cutFromPeers = false);
+      loop.pass(LEASE_DURATION_S * 2);
     }
   }
 
-  /** A claim that is carried out after its sender gave up must not make anybody lead. */
+  /** The lease of the claim was revoked after the timeout, and the key goes away with it. */
   @Test
-  void lateClaimLeadsNobody() {
+  void claimThatIsCommittedAfterItsTimeoutElectsNobody() {
     service.held = (method, path) -> path.equals("/commit");
-    Candidate one = new Candidate("n-0", 1);
+    SimulatedController candidate = startController("n-0", 1);
     while (!service.log.contains("DELETE /holds/1")) {
       loop.pass(0.01);
     }
     loop.pass(0.01);
-    assertFalse(one.leadership.isActive());
+    assertFalse(candidate.leadership.isActive());
     service.held = (method, path) -> false;
     service.deliverLate();
-    assertNull(service.value(Keys.LEADER), "its lease was released");
-    loop.pass(LIFE_S * 2);
-    assertTrue(one.leadership.isActive());
+    assertNull(service.value(Keys.LEADER), "its lease was revoked");
+    loop.pass(LEASE_DURATION_S * 2);
+    assertTrue(candidate.leadership.isActive());
   }
 
   private StateServiceVoting stateServiceVoting(String node, String incarnation) {
@@ -141,149 +143,152 @@
         loop,
         new StateClient(loop, service, TestData.settings()),
         new ControllerProcess(node, incarnation),
-        LIFE_S,
+        LEASE_DURATION_S,
         (candidate, term) -> true);
   }
 
   /**
-   * What a candidate wrote to ask for votes, carried out late, must not take the place of a later
-   * call, nor a vote.
+   * A request for votes that is carried out late must not replace a later one, nor a vote one for a
+   * later request.
    */
   @Test
-  void lateVoteRequestsAndVotesChangeNothing() {
+  void lateVoteRequestsAndLateVotesAreNotCommitted() {
     StateServiceVoting late = stateServiceVoting("n-5", "x");
     StateServiceVoting second = stateServiceVoting("n-6", "y");
     service.held = (method, path) -> path.equals("/commit");
-    late.requestVotes(7, granted -> true, granted -> {});
+    late.requestVotes(7, voters -> true, voters -> {});
     loop.pass(0.1);
     service.held = (method, path) -> false;
-    second.requestVotes(8, granted -> false, granted -> {});
+    second.requestVotes(8, voters -> false, voters -> {});
     loop.pass(0.1);
     service.deliverLate();
     assertEquals("n-6", service.value(Keys.VOTE_REQUEST).path("Node").asText());
     service.held = (method, path) -> path.equals("/commit");
     StateServiceVoting voter = stateServiceVoting("n-7", "z");
-    voter.requestVotes(8, granted -> false, granted -> {});
+    voter.requestVotes(8, voters -> false, voters -> {});
     loop.pass(0.1);
     service.held = (method, path) -> false;
-    second.requestVotes(9, granted -> false, granted -> {});
+    second.requestVotes(9, voters -> false, voters -> {});
     loop.pass(0.1);
     service.deliverLate();
-    assertNull(service.value(Keys.vote("n-7")), "it was for a call that does not stand any more");
+    assertNull(service.value(Keys.vote("n-7")), "it was for a request that was replaced");
   }
 
-  /** The candidate's process ends, and its next life is there a moment later. */
-  private void restart(Candidate candidate, double afterS) {
-    candidate.dead = true;
-    all.remove(candidate);
-    loop.schedule(afterS, () -> new Candidate(candidate.name, random.nextInt()));
+  /** Ends the process, and starts the next incarnation of the controller after a delay. */
+  private void restart(SimulatedController controller, double delayS) {
+    controller.stopped = true;
+    controllers.remove(controller);
+    loop.schedule(delayS, () -> startController(controller.node, random.nextInt()));
   }
 
   /**
-   * Many stand when a leader is cut off from all. Were they to split their votes again and again,
-   * nobody would lead.
+   * Many controllers campaign when the leader is cut off from all of them. If they split their
+   * votes again and again, none would lead.
    */
   @ParameterizedTest
   @CsvSource({"5, 1", "5, 2", "7, 1", "7, 2", "7, 3", "7, 4", "9, 1"})
-  void manyCandidatesAgreeSoon(int nodes, int seed) {
+  void leaderIsElectedSoonAmongManyCandidates(int nodes, int seed) {
     random.setSeed(seed);
-    several(nodes, seed * 100);
+    startControllers(nodes, seed * 100);
     for (int round = 0; round < 6; round++) {
-      Candidate cutOff = leader();
-      cutOff.cut = true;
-      cutOff.unresponsive = true;
-      double without = timeWithoutLeader(800, LIFE_S / 200);
-      assertTrue(without < LIFE_S / 2, "nobody led for " + without + " s in round " + round);
-      cutOff.cut = false;
-      cutOff.unresponsive = false;
-      loop.pass(LIFE_S * 2);
+      SimulatedController cutOff = activeLeader();
+      cutOff.cutFromStateService = true;
+      cutOff.cutFromPeers = true;
+      double withoutLeaderS = timeWithoutLeader(800, LEASE_DURATION_S / 200);
+      assertTrue(
+          withoutLeaderS < LEASE_DURATION_S / 2,
+          "no leader for " + withoutLeaderS + " s in round " + round);
+      cutOff.cutFromStateService = false;
+      cutOff.cutFromPeers = false;
+      loop.pass(LEASE_DURATION_S * 2);
     }
   }
 
-  private void standStill(Candidate candidate, double forS) {
-    candidate.still = true;
-    loop.schedule(forS, candidate::wake);
+  private void pause(SimulatedController controller, double durationS) {
+    controller.paused = true;
+    loop.schedule(durationS, controller::resume);
   }
 
   /**
-   * Whoever wakes acts on nothing that it was given before, whatever it had asked or was about to
-   * do.
+   * A process that resumes does not act on leases or votes from before the pause, whatever it had
+   * requested or was about to do.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4})
-  void neverTwoAtOnceWhoeverStandsStill(int seed) {
+  void twoLeadersAreNeverActiveWhenProcessesArePaused(int seed) {
     random.setSeed(seed);
-    three();
+    startThreeControllers();
     for (int round = 0; round < 40; round++) {
-      Candidate leader =
-          all.stream().filter(c -> c.leadership.isLeading()).findFirst().orElse(all.get(0));
-      boolean takenOver = round % 2 == 0;
-      standStill(takenOver ? leader : all.get(random.nextInt(3)), random.nextDouble() * 4 * LIFE_S);
-      for (int step = 0; step < 300; step++) {
-        loop.pass(LIFE_S / 100);
-        assertTrue(isActive() <= 1);
-      }
-      loop.pass(LIFE_S * 3);
-      assertEquals(1, isActive());
+      SimulatedController leader =
+          controllers.stream()
+              .filter(controller -> controller.leadership.isLeading())
+              .findFirst()
+              .orElse(controllers.get(0));
+      boolean pauseLeader = round % 2 == 0;
+      pause(
+          pauseLeader ? leader : controllers.get(random.nextInt(3)),
+          random.nextDouble() * 4 * LEASE_DURATION_S);
+      passCheckingLeaders(300, LEASE_DURATION_S / 100);
+      loop.pass(LEASE_DURATION_S * 3);
+      assertEquals(1, activeLeaderCount());
     }
   }
 
   /**
-   * One that is back at once costs no more time without a leader than it takes to see that its last
-   * life is over.
+   * The next incarnation proves that the last one has ended, so nobody waits until its lease
+   * expires.
    */
   @ParameterizedTest
   @CsvSource({"leader, 0.05", "leader, 0.3", "follower, 0.05", "all, 0.05", "all, 0.3"})
-  void backInAFractionOfASecond(String who, double afterS) {
-    three();
-    Candidate leader = leader();
-    for (Candidate c : List.copyOf(all)) {
-      if (who.equals("all") || who.equals("leader") == (c == leader)) {
-        restart(c, afterS);
+  void immediateRestartLeavesNoLeaderForLessThanHalfALease(String restarted, double delayS) {
+    startThreeControllers();
+    SimulatedController leader = activeLeader();
+    for (SimulatedController controller : List.copyOf(controllers)) {
+      if (restarted.equals("all") || restarted.equals("leader") == (controller == leader)) {
+        restart(controller, delayS);
       }
     }
-    double without = timeWithoutLeader(400, LIFE_S / 100);
-    assertEquals(1, isActive());
-    assertTrue(without < afterS + LIFE_S / 2, "nobody led for " + without + " s");
+    double withoutLeaderS = timeWithoutLeader(400, LEASE_DURATION_S / 100);
+    assertEquals(1, activeLeaderCount());
+    assertTrue(
+        withoutLeaderS < delayS + LEASE_DURATION_S / 2, "no leader for " + withoutLeaderS + " s");
   }
 
   /**
-   * Lives end at any moment, also in the middle of an election, with late copies of what they
-   * asked.
+   * Processes end at any moment, also in the middle of an election, and the network delivers late
+   * copies of their requests.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6})
-  void neverTwoAtOnceWhateverIsRestarted(int seed) {
+  void twoLeadersAreNeverActiveUnderRestartsCutsAndOutages(int seed) {
     random.setSeed(seed);
-    three();
+    startThreeControllers();
     for (int round = 0; round < 60; round++) {
-      Candidate one = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
-      if (one != null) {
-        switch (random.nextInt(6)) {
-          case 0, 1 -> restart(one, random.nextDouble() * 0.4);
-          case 2 -> one.cut = !one.cut;
-          case 3 -> one.unresponsive = !one.unresponsive;
-          case 4 -> standStill(one, random.nextDouble() * 3 * LIFE_S);
-          default ->
-              service.away =
-                  random.nextBoolean() ? (method, path) -> true : (method, path) -> false;
-        }
-      }
-      for (int step = random.nextInt(60); step > 0; step--) {
-        loop.pass(LIFE_S / 100);
-        assertTrue(isActive() <= 1);
+      if (!controllers.isEmpty()) {
+        injectFault(controllers.get(random.nextInt(controllers.size())));
       }
+      passCheckingLeaders(random.nextInt(60), LEASE_DURATION_S / 100);
     }
     service.away = (method, path) -> false;
-    all.forEach(
-        c -> {
-          c.cut = false;
-          c.unresponsive = false;
+    controllers.forEach(
+        controller -> {
+          controller.cutFromStateService = false;
+          controller.cutFromPeers = false;
         });
-    for (int step = 0; step < 500; step++) {
-      loop.pass(LIFE_S / 100);
-      assertTrue(isActive() <= 1);
+    passCheckingLeaders(500, LEASE_DURATION_S / 100);
+    assertEquals(1, activeLeaderCount());
+  }
+
+  private void injectFault(SimulatedController controller) {
+    switch (random.nextInt(6)) {
+      case 0, 1 -> restart(controller, random.nextDouble() * 0.4);
+      case 2 -> controller.cutFromStateService = !controller.cutFromStateService;
+      case 3 -> controller.cutFromPeers = !controller.cutFromPeers;
+      case 4 -> pause(controller, random.nextDouble() * 3 * LEASE_DURATION_S);
+      default -> {
+        boolean unavailable = random.nextBoolean();
+        service.away = (method, path) -> unavailable;
+      }
     }
-    assertEquals(1, isActive());
   }
 }
--- /dev/null
+++ b/src/test/java/org/saffronshore/leadership/SimulatedController.java
@@ -0,0 +1,258 @@
+package org.saffronshore.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.saffronshore.FakeStateService;
+import org.saffronshore.ManualEventLoop;
+import org.saffronshore.TestData;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.Client;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.http.Response;
+import org.saffronshore.state.Keys;
+import org.saffronshore.state.StateClient;
+
+/**
+ * One process of a controller that takes part in elections, with its connections to the state
+ * service and to its peers, which can be cut, and its event loop, which can be paused while the
+ * clock runs on.
+ */
+final class SimulatedController implements Leadership.Listener, PeerVoting, EventLoop {
+  static final double LEASE_DURATION_S = TestData.LEASE_S / 5;
+
+  /** So long after the state service was available a leader knows enough of cancellations. */
+  private static final double RENEWALS_ALLOWED_S = LEASE_DURATION_S * 5;
+
+  private static final double MAX_MESSAGE_DELAY_S = 0.02;
+
+  final String node;
+  final Leadership leadership;
+  final List<Long> termsLed = new ArrayList<>();
+  boolean cutFromStateService;
+  boolean cutFromPeers;
+  boolean stopped;
+  boolean paused;
+  private final ManualEventLoop loop;
+  private final FakeStateService service;
+  private final Random random;
+  private final List<SimulatedController> controllers;
+  private long lastMessage;
+  private final Map<SimulatedController, Double> lastReachedAt = new HashMap<>();
+  private final List<Runnable> unreadMessages = new ArrayList<>();
+  private final List<Runnable> overdueTimers = new ArrayList<>();
+
+  /**
+   * Starts a controller.
+   *
+   * @param random of the network
+   * @param controllers all that run; this one is added
+   * @param seed of the controller itself
+   */
+  SimulatedController(
+      ManualEventLoop loop,
+      FakeStateService service,
+      Random random,
+      List<SimulatedController> controllers,
+      Settings settings,
+      long seed) {
+    this.loop = loop;
+    this.service = service;
+    this.random = random;
+    this.controllers = controllers;
+    this.node = settings.node();
+    StateClient state = new StateClient(this, stateServiceConnection(), settings);
+    leadership = new Leadership(this, state, settings, new Random(seed), this, this);
+    controllers.add(this);
+    leadership.start();
+    sendHeartbeat();
+  }
+
+  private Client stateServiceConnection() {
+    return (to, method, path, body, timeoutS, then) -> {
+      if (stopped) {
+        return;
+      }
+      if (cutFromStateService) {
+        loop.schedule(timeoutS, () -> then.onResponse(Response.LOST));
+      } else {
+        service.send(
+            to,
+            method,
+            path,
+            body,
+            timeoutS,
+            response -> run(unreadMessages, () -> then.onResponse(response)));
+      }
+    };
+  }
+
+  @Override
+  public double now() {
+    return loop.now();
+  }
+
+  @Override
+  public Timer schedule(double seconds, Runnable action) {
+    return loop.schedule(seconds, () -> run(overdueTimers, action));
+  }
+
+  private void run(List<Runnable> later, Runnable action) {
+    if (paused) {
+      later.add(action);
+    } else if (!stopped) {
+      action.run();
+    }
+  }
+
+  /** Messages that arrived in the pause are read first, and then the timers that are due fire. */
+  void resume() {
+    paused = false;
+    for (List<Runnable> waiting : List.of(unreadMessages, overdueTimers)) {
+      List<Runnable> actions = List.copyOf(waiting);
+      waiting.clear();
+      actions.forEach(action -> run(waiting, action));
+    }
+  }
+
+  private boolean isStateServiceAvailable() {
+    return !cutFromStateService && !service.away.test("GET", "");
+  }
+
+  private boolean isReachable() {
+    return !cutFromPeers && !stopped;
+  }
+
+  private List<SimulatedController> reachablePeers() {
+    return controllers.stream()
+        .filter(peer -> peer != this && isReachable() && peer.isReachable() && !peer.paused)
+        .toList();
+  }
+
+  /** In place of the peer link: a leader renews the leases of its peers at intervals. */
+  private void sendHeartbeat() {
+    if (isStateServiceAvailable()) {
+      leadership.allowRenewalsUntil(loop.now() + RENEWALS_ALLOWED_S);
+    }
+    reachablePeers().forEach(peer -> lastReachedAt.put(peer, loop.now()));
+    if (leadership.isActive()) {
+      double requestedAt = loop.now();
+      LeaseRequest request =
+          request(leadership.term(), LeaseRequest.Role.LEADER, isStateServiceAvailable());
+      for (SimulatedController peer : reachablePeers()) {
+        if (peer.grantLease(request)) {
+          leadership.recordGrant(peer.node, requestedAt);
+        }
+      }
+    }
+    schedule(LEASE_DURATION_S / 6, this::sendHeartbeat);
+  }
+
+  private ControllerProcess process() {
+    return new ControllerProcess(node, leadership.incarnation());
+  }
+
+  private LeaseRequest request(long term, LeaseRequest.Role role, boolean stateServiceAvailable) {
+    return new LeaseRequest(process(), term, role, stateServiceAvailable);
+  }
+
+  private boolean grantLease(LeaseRequest request) {
+    return leadership.grantLease(request, isStateServiceAvailable());
+  }
+
+  @Override
+  public void requestVotes(
+      long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotes) {
+    long message = ++lastMessage;
+    List<Vote> votes = new ArrayList<>();
+    Set<SimulatedController> missing = new HashSet<>(controllers);
+    missing.remove(this);
+    missing.removeIf(
+        peer -> loop.now() > lastReachedAt.getOrDefault(peer, loop.now()) + LEASE_DURATION_S / 2);
+    boolean[] reported = new boolean[1];
+    Consumer<Boolean> reportIfDecided =
+        timedOut -> {
+          if (!reported[0] && (timedOut || missing.isEmpty() || isDecided.test(votes))) {
+            reported[0] = true;
+            onVotes.accept(votes);
+          }
+        };
+    for (SimulatedController peer : reachablePeers()) {
+      requestVote(
+          peer,
+          term,
+          message,
+          vote -> {
+            votes.add(vote);
+            missing.remove(peer);
+            reportIfDecided.accept(false);
+          });
+    }
+    loop.schedule(0.001, () -> run(unreadMessages, () -> reportIfDecided.accept(false)));
+    // Peers that became unreachable lately are waited for while their votes matter, so several
+    // candidates may campaign at the same time.
+    loop.schedule(
+        LEASE_DURATION_S / 4, () -> run(unreadMessages, () -> reportIfDecided.accept(true)));
+    deliverAgainAfterTheEnd(term);
+  }
+
+  /** The request and the response are both delayed, and meanwhile others may request votes too. */
+  private void requestVote(
+      SimulatedController peer, long term, long message, Consumer<Vote> onVote) {
+    loop.schedule(
+        MAX_MESSAGE_DELAY_S * random.nextDouble(),
+        () -> {
+          // A message that was overtaken by a later one of the same process is ignored.
+          if (message != lastMessage) {
+            return;
+          }
+          LeaseRequest request =
+              request(term, LeaseRequest.Role.CANDIDATE, isStateServiceAvailable());
+          Vote vote = new Vote(peer.node, peer.leadership.incarnation(), peer.grantLease(request));
+          loop.schedule(
+              MAX_MESSAGE_DELAY_S * random.nextDouble(),
+              () -> run(unreadMessages, () -> onVote.accept(vote)));
+        });
+  }
+
+  /** The network may deliver a copy of a request long after the process of the candidate ended. */
+  private void deliverAgainAfterTheEnd(long term) {
+    double delayS = random.nextDouble() * LEASE_DURATION_S;
+    for (SimulatedController peer : reachablePeers()) {
+      loop.schedule(
+          delayS,
+          () -> {
+            if (stopped) {
+              peer.grantLease(request(term, LeaseRequest.Role.CANDIDATE, true));
+            }
+          });
+    }
+  }
+
+  @Override
+  public void withdraw(long term) {
+    lastMessage++;
+    reachablePeers().forEach(peer -> peer.leadership.recordWithdrawal(process(), term));
+  }
+
+  @Override
+  public void onElected(long term, long keyVersion) {
+    termsLed.add(term);
+    leadership.allowRenewalsUntil(loop.now() + RENEWALS_ALLOWED_S);
+    assertEquals(keyVersion, service.version(Keys.LEADER));
+  }
+
+  @Override
+  public void onDeposed(String reason) {
+    assertFalse(reason.isEmpty());
+  }
+}
