--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -221,7 +221,7 @@
       }
       Map<String, Integer> perZone = zonesMatter ? perZone(job) : Map.of();
       PendingJob pending = new PendingJob(job.spec, job.version, waiting, perZone);
-      all.add(starving(job) ? pending.overdue() : pending);
+      all.add(starving(job) ? pending.markOverdue() : pending);
     }
     return all;
   }
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -67,7 +67,7 @@
       allKnown &= a.job != null;
       Team team = a.job == null ? null : teams.get(a.job.team());
       if (team != null) {
-        team.use(a.job, tuning);
+        team.addLaunched(a.job, tuning);
         if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.CHECKPOINTING) {
           team.addRunning(a.job);
         }
@@ -138,7 +138,7 @@
           double cpus = Math.min(unlisted.cpus, more.cpus);
           double gpus = Math.min(unlisted.gpus, more.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
-          team.addPossiblyHeld(
+          team.addUnattributed(
               ended.cpus + unknown.cpus + unlisted.cpus - cpus,
               ended.gpus + unknown.gpus + unlisted.gpus - gpus);
         });
--- a/src/main/java/org/saffronshore/control/QuotaMetrics.java
+++ b/src/main/java/org/saffronshore/control/QuotaMetrics.java
@@ -28,7 +28,7 @@
       gauge(metrics, team, "running", QuotaUsage.Amounts::running);
       gauge(metrics, team, "launched", QuotaUsage.Amounts::launched);
       gauge(metrics, team, "possible", QuotaUsage.Amounts::possible);
-      gauge(metrics, team, "possibly_held", QuotaUsage.Amounts::possiblyHeld);
+      gauge(metrics, team, "possibly_held", QuotaUsage.Amounts::unattributed);
       gauge(metrics, team, "limit", QuotaUsage.Amounts::limit);
       HeldBack counts = new HeldBack();
       heldBack.put(team, counts);
@@ -57,7 +57,7 @@
   /** A cycle has ended: what counts now, with what it placed. */
   void cycleCompleted(
       Collection<Team> teams, Collection<SchedulingPlan.QuotaLimitedTasks> limited) {
-    teams.forEach(team -> latest.put(team.use().team(), team.use()));
+    teams.forEach(team -> latest.put(team.quotaUsage().team(), team.quotaUsage()));
     Map<String, Boolean> byUnaccounted = new HashMap<>();
     limited.forEach(
         l -> byUnaccounted.merge(l.job().team(), l.onlyByUnreconciled(), Boolean::logicalAnd));
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -84,7 +84,7 @@
             began);
     plan.placements().forEach(this::place);
     for (SchedulingPlan.Preemption s : plan.preemptions()) {
-      cluster.stop(s.task(), s.machine(), s.reason());
+      cluster.stop(s.task(), s.machine(), s.reason().toString());
     }
     teamMetrics.cycleCompleted(teams.values(), plan.quotaLimited());
     logLimited(plan);
--- a/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
+++ b/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
@@ -4,30 +4,32 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.JobSpec;
 
 /**
- * What one cycle found no place for. Room only shrinks as tasks are placed, so what asks for at
- * least as much, and may go to no more machines, need not be tried: with a long queue on a full
- * cluster, that is most of the work.
+ * Remembers within one cycle which jobs found no place. Room only shrinks as tasks are placed, so
+ * another job that requires at least as much, and is allowed on no more machines, need not be
+ * tried. With a long queue on a full cluster that saves most of the work.
  */
 final class FailedPlacements {
-  private final List<JobSpec> noRoom = new ArrayList<>();
-  private final Set<Try> noVictims = new HashSet<>();
+  private final List<JobSpec> fitNowhere = new ArrayList<>();
+  private final Set<VictimSearch> withoutVictims = new HashSet<>();
 
-  private record Try(
+  /** All that the search for victims depends on, other than constraints on the job's own tasks. */
+  private record VictimSearch(
       String team,
       int priority,
       boolean guaranteed,
       double cpus,
       double gpus,
       double memoryGb,
-      List<String> types,
-      String zone,
+      @Nullable List<String> machineTypes,
+      @Nullable String zone,
       boolean spot) {
 
-    static Try of(JobSpec job, boolean guaranteed) {
-      return new Try(
+    static VictimSearch of(JobSpec job, boolean guaranteed) {
+      return new VictimSearch(
           job.team(),
           job.priority().rank(),
           guaranteed,
@@ -40,8 +42,9 @@
     }
   }
 
-  boolean noRoom(JobSpec job) {
-    for (JobSpec failed : noRoom) {
+  /** Whether a job that requires no more than this one fits on no machine. */
+  boolean isKnownToFitNowhere(JobSpec job) {
+    for (JobSpec failed : fitNowhere) {
       if (job.requiresAtLeast(failed)) {
         return true;
       }
@@ -49,26 +52,27 @@
     return false;
   }
 
-  void addNoRoom(JobSpec job) {
-    noRoom.add(job);
+  void addFitsNowhere(JobSpec job) {
+    fitNowhere.add(job);
   }
 
-  boolean noVictims(JobSpec job, boolean guaranteed) {
-    return !noVictims.isEmpty() && noVictims.contains(Try.of(job, guaranteed));
+  /** Whether a search like this one found no tasks to preempt. */
+  boolean isKnownToHaveNoVictims(JobSpec job, boolean guaranteed) {
+    return !withoutVictims.isEmpty() && withoutVictims.contains(VictimSearch.of(job, guaranteed));
   }
 
   void addNoVictims(JobSpec job, boolean guaranteed) {
-    noVictims.add(Try.of(job, guaranteed));
+    withoutVictims.add(VictimSearch.of(job, guaranteed));
   }
 
-  /** A team has more than before: more of it may be beyond its guarantee, and so be stopped. */
-  void onTeamsChanged() {
-    noVictims.clear();
+  /** A team's share has grown: more of its tasks may be beyond its guarantee, and be preempted. */
+  void onShareGrown() {
+    withoutVictims.clear();
   }
 
-  /** Tasks are to be stopped: there is room where there was none. */
+  /** Tasks are to be preempted: there is room where there was none. */
   void onRoomMade() {
-    noRoom.clear();
-    noVictims.clear();
+    fitNowhere.clear();
+    withoutVictims.clear();
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -8,33 +8,46 @@
 import java.util.function.Predicate;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
 /**
- * A machine as the cycle sees it; kept from one cycle to the next as long as nothing of it changes.
- * {@code free} is what is free now; {@code room} adds what tasks that are being stopped, or are
- * evicted in memory, will leave. A task that only fits the latter is promised its place, not
- * started there.
+ * A machine as the cycle sees it; reused by later cycles as long as nothing on it changes. A task
+ * that fits only into {@link #freeAfterStops} keeps its place, and is not started there yet.
  */
 public final class MachineView {
-  public final String id;
-  public final MachineKind kind;
-  final double cpus;
-  public final Resources free;
-  public final Resources freeAfterStops;
-  final List<PlacedTask> preemptibleTasks = new ArrayList<>();
-  final Map<String, Integer> teams = new HashMap<>(8);
+
+  /** Which teams a machine has, in the order in which machines are packed for a team. */
+  enum Sharing {
+    /** Only the team. */
+    EXCLUSIVE,
+    /** Other teams, with the team or without it. */
+    SHARED,
+    /** No team. */
+    EMPTY
+  }
+
+  private final String id;
+  private final MachineKind kind;
+  private final double totalCpus;
+  private final Resources freeNow;
+  private final Resources freeAfterStops;
+  private final List<PlacedTask> preemptibleTasks = new ArrayList<>();
+  private final Map<String, Integer> tasksPerTeam = new HashMap<>(8);
   private final Predicate<TaskId> hasTraceOf;
   private final Set<String> images;
 
-  /** The lowest class among the tasks that could be stopped, by its rank. */
-  private int lowest = Integer.MAX_VALUE;
+  /** The lowest rank of a priority among the preemptible tasks; may be too low after evictions. */
+  private int lowestPriority = Integer.MAX_VALUE;
 
   private boolean modified;
   private boolean reserved;
 
   /**
-   * @param hasTraceOf tasks that may not be put here
+   * A machine without tasks.
+   *
+   * @param capacity all that it has; becomes what is free now, and is changed
+   * @param hasTraceOf tasks that may not be placed here
    * @param images what it holds; may change between cycles, but not in one
    */
   public MachineView(
@@ -45,22 +58,22 @@
       Set<String> images) {
     this.id = id;
     this.kind = kind;
-    this.cpus = capacity.cpus;
-    this.free = capacity;
+    this.totalCpus = capacity.cpus;
+    this.freeNow = capacity;
     this.freeAfterStops = capacity.copy();
     this.hasTraceOf = hasTraceOf;
     this.images = images;
   }
 
-  /** Puts a task that is there already. */
-  public void add(PlacedTask slot) {
-    free.subtract(slot.job());
-    if (!slot.stopping()) {
-      freeAfterStops.subtract(slot.job());
-      teams.merge(slot.job().team(), 1, Integer::sum);
-      if (!slot.exemptFromPreemption()) {
-        preemptibleTasks.add(slot);
-        lowest = Math.min(lowest, slot.job().priority().rank());
+  /** Adds a task that is on the machine already. */
+  public void add(PlacedTask task) {
+    freeNow.subtract(task.job());
+    if (!task.stopping()) {
+      freeAfterStops.subtract(task.job());
+      tasksPerTeam.merge(task.job().team(), 1, Integer::sum);
+      if (!task.exemptFromPreemption()) {
+        preemptibleTasks.add(task);
+        lowestPriority = Math.min(lowestPriority, task.job().priority().rank());
       }
     }
   }
@@ -70,27 +83,60 @@
     return modified;
   }
 
-  /** Whether it has tasks of a class below this one. */
-  boolean hasLowerPriority(int priority) {
-    return lowest < priority;
+  String id() {
+    return id;
+  }
+
+  MachineKind kind() {
+    return kind;
+  }
+
+  /** The CPUs of the empty machine. */
+  double totalCpus() {
+    return totalCpus;
+  }
+
+  /** What is free now; the cycle subtracts what it starts. */
+  Resources freeNow() {
+    return freeNow;
+  }
+
+  /**
+   * What is free now and what tasks that are being stopped, or are evicted in memory, will leave.
+   */
+  Resources freeAfterStops() {
+    return freeAfterStops;
+  }
+
+  /** The tasks that may be preempted and are not evicted. */
+  List<PlacedTask> preemptibleTasks() {
+    return preemptibleTasks;
+  }
+
+  /** Whether it may have preemptible tasks of a priority below this one. */
+  boolean hasTasksBelow(Priority priority) {
+    return lowestPriority < priority.rank();
   }
 
   /** Whether it has tasks of any other team. */
   boolean hasOtherTeams(String team) {
-    return teams.size() > 1 || (teams.size() == 1 && !teams.containsKey(team));
+    return tasksPerTeam.size() > 1 || (tasksPerTeam.size() == 1 && !tasksPerTeam.containsKey(team));
   }
 
-  void evict(PlacedTask slot) {
+  /** Frees the place of a preemptible task, in memory. */
+  void evict(PlacedTask task) {
     modified = true;
-    freeAfterStops.add(slot.job());
-    preemptibleTasks.remove(slot);
-    teams.merge(slot.job().team(), -1, (a, b) -> a + b == 0 ? null : a + b);
+    freeAfterStops.add(task.job());
+    preemptibleTasks.remove(task);
+    tasksPerTeam.computeIfPresent(
+        task.job().team(), (team, tasks) -> tasks == 1 ? null : tasks - 1);
   }
 
+  /** Gives a task of the job its place, which need not be free yet. */
   void place(JobSpec job) {
     modified = true;
     freeAfterStops.subtract(job);
-    teams.merge(job.team(), 1, Integer::sum);
+    tasksPerTeam.merge(job.team(), 1, Integer::sum);
   }
 
   /** Takes nothing more in this cycle. */
@@ -112,11 +158,10 @@
     return images.contains(image);
   }
 
-  /**
-   * 0 where only this team is, 1 where others are, 2 where nobody is: the order in which sets are
-   * tried.
-   */
-  int sharingRank(String team) {
-    return teams.isEmpty() ? 2 : teams.size() == 1 && teams.containsKey(team) ? 0 : 1;
+  Sharing sharing(String team) {
+    if (tasksPerTeam.isEmpty()) {
+      return Sharing.EMPTY;
+    }
+    return hasOtherTeams(team) ? Sharing.SHARED : Sharing.EXCLUSIVE;
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -4,40 +4,55 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.TaskId;
 
-/** A job with tasks that may be placed now, and where its other tasks are or may be. */
+/** A job with tasks that may be placed now, and the zones where its other tasks are or may be. */
 public final class PendingJob {
-  public final JobSpec job;
-
-  /** Submission order. */
-  public final long order;
-
-  private final BitSet tasks;
+  private final JobSpec job;
+  private final long submissionOrder;
+  private final BitSet waitingTasks;
   private final Map<String, Integer> tasksPerZone;
   private boolean overdue;
-  private int next;
+  private int nextTask;
   private int remaining;
 
   /**
-   * @param tasks which tasks wait; only read, and not to be changed while the cycle runs
-   * @param tasksPerZone how many of its other tasks each zone has, where the job's rules ask for
-   *     that
+   * A job that is not overdue.
+   *
+   * @param submissionOrder of two jobs that are otherwise equal, the one with the smaller value
+   *     goes first
+   * @param waitingTasks which tasks wait; only read, and not to be changed while the cycle runs
+   * @param tasksPerZone how many of its other tasks each zone has, where {@link #hasZoneConstraint}
    */
-  public PendingJob(JobSpec job, long order, BitSet tasks, Map<String, Integer> tasksPerZone) {
+  public PendingJob(
+      JobSpec job, long submissionOrder, BitSet waitingTasks, Map<String, Integer> tasksPerZone) {
     this.job = job;
-    this.order = order;
-    this.tasks = tasks;
+    this.submissionOrder = submissionOrder;
+    this.waitingTasks = waitingTasks;
     this.tasksPerZone = tasksPerZone.isEmpty() ? new HashMap<>(4) : new HashMap<>(tasksPerZone);
-    this.next = tasks.nextSetBit(0);
-    this.remaining = tasks.cardinality();
+    this.nextTask = waitingTasks.nextSetBit(0);
+    this.remaining = waitingTasks.cardinality();
   }
 
-  /** The job has waited for very long, and nothing of it has ever run. */
-  public PendingJob overdue() {
+  /** Notes that the job has waited for very long, and nothing of it has ever run. */
+  public PendingJob markOverdue() {
     overdue = true;
     return this;
   }
 
+  /** Whether the job is constrained by the zones of its other tasks. */
+  public static boolean hasZoneConstraint(JobSpec job) {
+    return job.singleZone() || job.spread();
+  }
+
+  public JobSpec job() {
+    return job;
+  }
+
+  long submissionOrder() {
+    return submissionOrder;
+  }
+
   /**
    * Whether its next task goes before all others; once one is placed, the job queues like any
    * other.
@@ -46,11 +61,6 @@
     return overdue;
   }
 
-  /** Whether the job's rules ask where its other tasks are. */
-  public static boolean hasZoneConstraint(JobSpec job) {
-    return job.singleZone() || job.spread();
-  }
-
   boolean isEmpty() {
     return remaining == 0;
   }
@@ -60,14 +70,14 @@
     return remaining;
   }
 
-  /** The first task that has not been placed yet. */
-  int next() {
-    return next;
+  /** The index of the first task that has not been placed yet. */
+  int nextTask() {
+    return nextTask;
   }
 
-  /** The first task was placed in a zone. */
-  void taskPlaced(String zone) {
-    next = tasks.nextSetBit(next + 1);
+  /** Notes that the next task was placed in a zone. */
+  void nextTaskPlaced(String zone) {
+    nextTask = waitingTasks.nextSetBit(nextTask + 1);
     remaining--;
     overdue = false;
     if (hasZoneConstraint(job)) {
@@ -75,8 +85,13 @@
     }
   }
 
+  /** Whether the zones of the job's other tasks, or the task's past, rule out a machine. */
+  boolean isExcludedFrom(MachineView machine, TaskId task) {
+    return !isZoneAllowed(machine.kind().zone()) || machine.hasTraceOf(task);
+  }
+
   /** Whether one more task of the job may be in this zone, given the job's other tasks. */
-  boolean zoneAllowed(String zone) {
+  boolean isZoneAllowed(String zone) {
     if (job.singleZone() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone)) {
       return false;
     }
--- a/src/main/java/org/saffronshore/scheduling/PlacedTask.java
+++ b/src/main/java/org/saffronshore/scheduling/PlacedTask.java
@@ -4,22 +4,25 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * A task on a host as the cycle sees it.
+ * A task on a machine as the cycle sees it.
  *
- * @param runningSince when it began to run, NaN as long as it does not
- * @param exemptFromPreemption whether it is not to be stopped for others
+ * @param stopping whether it is being stopped already
+ * @param runningSince when it began to run, in seconds; NaN as long as it does not
+ * @param exemptFromPreemption whether it is not to be preempted
  */
 public record PlacedTask(
     TaskId task, JobSpec job, boolean stopping, double runningSince, boolean exemptFromPreemption) {
 
+  /** A task that is not exempt from preemption. */
   public PlacedTask(TaskId task, JobSpec job, boolean stopping, double runningSince) {
     this(task, job, stopping, runningSince, false);
   }
 
-  /** How much of its running time a stop would waste. */
+  /** How many seconds of its running time a stop at a moment would waste. */
   double lostWorkS(double now) {
-    return Double.isNaN(runningSince)
-        ? 0
-        : job.supportsCheckpoints() ? job.checkpointDurationS() : now - runningSince;
+    if (Double.isNaN(runningSince)) {
+      return 0;
+    }
+    return job.supportsCheckpoints() ? job.checkpointDurationS() : now - runningSince;
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
+++ b/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
@@ -14,17 +14,18 @@
   /**
    * Amounts of one resource.
    *
-   * @param running of tasks that run or are saving
+   * @param running of tasks that run or save a checkpoint
    * @param launched of all tasks that are on machines, on their way there, or placed in this cycle
-   * @param possible of open jobs' tasks that may be on machines not accounted for
-   * @param possiblyHeld of tasks on such machines that nobody can name
+   * @param possible of open jobs' tasks that may be on unreconciled machines
+   * @param unattributed of tasks on such machines that belong to no open job, as far as is known;
+   *     {@code possibly_held} in log lines and metrics
    * @param limit the most that the team may use; 0 for no limit
    */
   public record Amounts(
-      double running, double launched, double possible, double possiblyHeld, double limit) {
+      double running, double launched, double possible, double unattributed, double limit) {
     /** All that is compared with the limit. */
     public double counted() {
-      return launched + possible + possiblyHeld;
+      return launched + possible + unattributed;
     }
   }
 
@@ -35,16 +36,16 @@
     return gpus.limit() > 0 || gpus.counted() > 0 ? text + fields("gpus", gpus) : text;
   }
 
-  private static String fields(String resource, Amounts a) {
+  private static String fields(String resource, Amounts amounts) {
     return String.format(
         Locale.ROOT,
         " running_%1$s=%2$.1f launched_%1$s=%3$.1f possible_%1$s=%4$.1f"
             + " possibly_held_%1$s=%5$.1f limit_%1$s=%6$.1f",
         resource,
-        a.running(),
-        a.launched(),
-        a.possible(),
-        a.possiblyHeld(),
-        a.limit());
+        amounts.running(),
+        amounts.launched(),
+        amounts.possible(),
+        amounts.unattributed(),
+        amounts.limit());
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -3,121 +3,162 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.wire.JobSpec;
 
-/** A team during one cycle: its rights, and what its tasks use or may be using. */
+/**
+ * A team during one cycle: what it is guaranteed, what it may use at most, and what its tasks use
+ * or may be using.
+ *
+ * <p>Two totals are kept apart. The <em>share</em> is compared with the guarantee and with other
+ * teams' shares; evicted tasks are not in it. The <em>quota usage</em> is compared with the limit;
+ * evicted tasks are in it, since they are on their machines until they are known to have stopped.
+ */
 public final class Team {
-  private static final double EPSILON = 1e-6;
-  final Settings.TeamQuota quota;
-  final double weight;
-  double cpus;
-  double gpus;
-  double cost;
+  private final Settings.TeamQuota quota;
+  private final double weight;
 
-  /** What is on machines, evicted tasks included: they are there until they are proven gone. */
-  private final Resources launched = new Resources(0, 0, 0);
+  private final Resources share = Resources.zero();
 
-  /** The part of it that runs or is saving. */
-  private final Resources running = new Resources(0, 0, 0);
+  /** The cost of the tasks in the share. */
+  private double shareCost;
 
-  /** What may be on machines not accounted for, of open jobs and of jobs that are over. */
-  private final Resources possible = new Resources(0, 0, 0);
-
-  private final Resources possiblyHeld = new Resources(0, 0, 0);
+  private final Resources launched = Resources.zero();
+  private final Resources running = Resources.zero();
+  private final Resources possible = Resources.zero();
+  private final Resources unattributed = Resources.zero();
 
+  /**
+   * A team without tasks.
+   *
+   * @param weight its part of the cluster in relation to the weights of other teams; above 0
+   */
   public Team(Settings.TeamQuota quota, double weight) {
     this.quota = quota;
     this.weight = weight;
   }
 
-  /** Counts a task that is on a machine, or is being put there. */
-  public void use(JobSpec job, SchedulingSettings tuning) {
-    share(job, tuning, 1);
+  String name() {
+    return quota.name();
+  }
+
+  Settings.TeamQuota quota() {
+    return quota;
+  }
+
+  /** What the team's tasks use but for evicted ones, and what its open jobs may be using. */
+  Resources share() {
+    return share;
+  }
+
+  /** Counts a task that is on a machine, or is being launched there. */
+  public void addLaunched(JobSpec job, SchedulingSettings settings) {
+    addToShare(job, settings);
     launched.add(job);
   }
 
-  /** Notes that a task which is counted already runs or is saving. */
+  /** Notes that a task which is counted as launched is running or saves a checkpoint. */
   public void addRunning(JobSpec job) {
     running.add(job);
   }
 
+  /** Counts what tasks of the team's open jobs may be using on unreconciled machines. */
+  public void addPossible(double cpus, double gpus) {
+    Resources amount = new Resources(cpus, gpus, 0);
+    share.add(amount);
+    possible.add(amount);
+  }
+
   /**
-   * Counts a task into the team's share, or out of it. The limit is about what is on machines, not
-   * about shares.
+   * Counts what may be in use on unreconciled machines by tasks that belong to no open job, as far
+   * as is known. It counts against the limit only.
    */
-  void share(JobSpec job, SchedulingSettings tuning, int sign) {
-    cpus += sign * job.cpus();
-    gpus += sign * job.gpus();
-    cost += sign * tuning.cost(job);
+  public void addUnattributed(double cpus, double gpus) {
+    unattributed.add(new Resources(cpus, gpus, 0));
   }
 
-  /** Counts what may be running without anybody knowing which task it is. */
-  public void addPossible(double maybeCpus, double maybeGpus) {
-    cpus += maybeCpus;
-    gpus += maybeGpus;
-    possible.add(new Resources(maybeCpus, maybeGpus, 0));
+  /** Counts a task into the team's share. */
+  void addToShare(JobSpec job, SchedulingSettings settings) {
+    share.add(job);
+    shareCost += settings.cost(job);
   }
 
-  /**
-   * Counts against the limit only what may be running of jobs that are over, which nobody can name
-   * any more.
-   */
-  public void addPossiblyHeld(double moreCpus, double moreGpus) {
-    possiblyHeld.add(new Resources(moreCpus, moreGpus, 0));
+  /** Takes a task that was evicted or is to be preempted out of the team's share. */
+  void removeFromShare(JobSpec job, SchedulingSettings settings) {
+    share.subtract(job);
+    shareCost -= settings.cost(job);
   }
 
   /** What counts against the limit now. */
-  public QuotaUsage use() {
+  public QuotaUsage quotaUsage() {
     return new QuotaUsage(
         quota.name(),
         new QuotaUsage.Amounts(
-            running.cpus, launched.cpus, possible.cpus, possiblyHeld.cpus, quota.maxCpus()),
+            running.cpus, launched.cpus, possible.cpus, unattributed.cpus, quota.maxCpus()),
         new QuotaUsage.Amounts(
-            running.gpus, launched.gpus, possible.gpus, possiblyHeld.gpus, quota.maxGpus()));
+            running.gpus, launched.gpus, possible.gpus, unattributed.gpus, quota.maxGpus()));
   }
 
+  /** Whether the limit lets one more task of the job run. */
   boolean withinLimit(JobSpec job) {
-    double cpusAfter = countedCpus() + job.cpus();
-    double gpusAfter = launched.gpus + possible.gpus + possiblyHeld.gpus + job.gpus();
-    return (quota.maxCpus() <= 0 || cpusAfter <= quota.maxCpus() + EPSILON)
-        && (quota.maxGpus() <= 0 || gpusAfter <= quota.maxGpus() + EPSILON);
+    return withinLimit(job, countedCpus(), countedGpus());
   }
 
-  /** Whether the limit would let the task in if all machines were accounted for. */
-  boolean withinLimitOfKnown(JobSpec job) {
-    return (quota.maxCpus() <= 0 || launched.cpus + job.cpus() <= quota.maxCpus() + EPSILON)
-        && (quota.maxGpus() <= 0 || launched.gpus + job.gpus() <= quota.maxGpus() + EPSILON);
+  /** Whether the limit would let one more task run if all machines were reconciled and empty. */
+  boolean withinLimitIfReconciled(JobSpec job) {
+    return withinLimit(job, launched.cpus, launched.gpus);
   }
 
-  private double countedCpus() {
-    return launched.cpus + possible.cpus + possiblyHeld.cpus;
+  private boolean withinLimit(JobSpec job, double usedCpus, double usedGpus) {
+    return (quota.maxCpus() <= 0 || usedCpus + job.cpus() <= quota.maxCpus() + Resources.EPSILON)
+        && (quota.maxGpus() <= 0 || usedGpus + job.gpus() <= quota.maxGpus() + Resources.EPSILON);
   }
 
-  /** How many more of such tasks the limit lets in. */
-  int tasksWithinLimit(JobSpec job, int most) {
+  /** How many of some tasks of the job the limit on CPUs lets run. */
+  int tasksWithinLimit(JobSpec job, int tasks) {
     return quota.maxCpus() <= 0 || job.cpus() <= 0
-        ? most
-        : (int) Math.min(most, (quota.maxCpus() - countedCpus()) / job.cpus() + EPSILON);
+        ? tasks
+        : (int) Math.min(tasks, (quota.maxCpus() - countedCpus()) / job.cpus() + Resources.EPSILON);
+  }
+
+  private double countedCpus() {
+    return launched.cpus + possible.cpus + unattributed.cpus;
+  }
+
+  private double countedGpus() {
+    return launched.gpus + possible.gpus + unattributed.gpus;
   }
 
+  /** Whether the team with one more task of the job has no more than it is guaranteed. */
   boolean withinGuarantee(JobSpec job) {
     return (quota.guaranteedCpus() > 0 || quota.guaranteedGpus() > 0)
-        && cpus + job.cpus() <= quota.guaranteedCpus() + EPSILON
-        && gpus + job.gpus() <= quota.guaranteedGpus() + EPSILON;
+        && share.cpus + job.cpus() <= quota.guaranteedCpus() + Resources.EPSILON
+        && share.gpus + job.gpus() <= quota.guaranteedGpus() + Resources.EPSILON;
   }
 
-  /** Whether the team, without this task of its own, would still have all that it is guaranteed. */
+  /** Whether the team, without this task of its own, still has all that it is guaranteed. */
   boolean beyondGuarantee(JobSpec job) {
-    return (quota.guaranteedCpus() <= 0 || cpus - job.cpus() >= quota.guaranteedCpus() - EPSILON)
-        && (quota.guaranteedGpus() <= 0 || gpus - job.gpus() >= quota.guaranteedGpus() - EPSILON);
+    return !isBelowGuaranteeWithout(job.cpus(), job.gpus());
   }
 
-  /** Whether without these tasks of its own the team would have less than it is guaranteed. */
-  boolean guaranteeReachedBy(Resources stopped) {
-    return (quota.guaranteedCpus() > 0 && cpus - stopped.cpus < quota.guaranteedCpus() - EPSILON)
-        || (quota.guaranteedGpus() > 0 && gpus - stopped.gpus < quota.guaranteedGpus() - EPSILON);
+  /** Whether the team, without these tasks of its own, has less than it is guaranteed. */
+  boolean isBelowGuaranteeWithout(Resources tasks) {
+    return isBelowGuaranteeWithout(tasks.cpus, tasks.gpus);
   }
 
-  /** The fraction of its fair share that the team would have with one more task of this cost. */
-  double fraction(double more) {
-    return (cost + more) / weight;
+  private boolean isBelowGuaranteeWithout(double cpus, double gpus) {
+    return isBelow(quota.guaranteedCpus(), share.cpus - cpus)
+        || isBelow(quota.guaranteedGpus(), share.gpus - gpus);
+  }
+
+  private static boolean isBelow(double guaranteed, double amount) {
+    return guaranteed > 0 && amount < guaranteed - Resources.EPSILON;
+  }
+
+  /**
+   * The fraction of its fair share that the team would have with one more task, up to a factor that
+   * is the same for all teams.
+   *
+   * @param cost the task's cost
+   */
+  double fractionOfShareWith(double cost) {
+    return (shareCost + cost) / weight;
   }
 }
--- a/src/main/java/org/saffronshore/wire/MachineType.java
+++ b/src/main/java/org/saffronshore/wire/MachineType.java
@@ -5,8 +5,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
-/** A kind of machine that the cloud rents out. Prices are per hour. */
+/**
+ * A type of machine that the cloud rents out.
+ *
+ * @param cacheGb how much a machine can hold of images
+ * @param imagePullGbPerS how fast it pulls an image
+ * @param pricePerHour the price of an ordinary machine
+ * @param spotPricePerHour the price of a spot machine; changes with time
+ * @param bootS seconds from its rental until it can run tasks
+ * @param zones the zones in which the cloud has it
+ */
 public record MachineType(
     String name,
     double cpus,
@@ -19,31 +29,37 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads the cloud's answer to a question for its machine types. */
+  /** The most that a field with a number may say. */
+  private static final double MAX = 1e9;
+
+  /**
+   * Reads the cloud's list of machine types, by name and in the order of the list.
+   *
+   * @throws InvalidFieldException if a field is missing or invalid; it names the field
+   */
   public static Map<String, MachineType> parseAll(JsonNode body) throws InvalidFieldException {
     Map<String, MachineType> all = new LinkedHashMap<>();
-    double most = 1e9;
-    for (FieldReader f : FieldReader.of(body, "").objects("Rigs")) {
-      List<String> zones = f.textsOrNull("Depots");
+    for (FieldReader fields : FieldReader.of(body, "").objects("Rigs")) {
+      List<String> zones = fields.textsOrNull("Depots");
       MachineType type =
           new MachineType(
-              f.text("Label"),
-              f.number("Cores", 0, most),
-              f.number("Accelerators", 0, most, 0),
-              f.number("RamGb", 0, most),
-              f.number("CacheGb", 0, most, 0),
-              f.number("FetchGbPerS", 0, most, 0),
-              f.number("Hourly", 0, most),
-              f.number("LowPrice", 0, most, f.number("Hourly", 0, most)),
-              f.number("BootS", 0, most),
+              fields.text("Label"),
+              fields.number("Cores", 0, MAX),
+              fields.number("Accelerators", 0, MAX, 0),
+              fields.number("RamGb", 0, MAX),
+              fields.number("CacheGb", 0, MAX, 0),
+              fields.number("FetchGbPerS", 0, MAX, 0),
+              fields.number("Hourly", 0, MAX),
+              fields.number("LowPrice", 0, MAX, fields.number("Hourly", 0, MAX)),
+              fields.number("BootS", 0, MAX),
               zones == null ? new ArrayList<>() : zones);
       all.put(type.name(), type);
     }
     return all;
   }
 
-  /** Whether it differs from another in nothing but the price that moves. */
-  public boolean equalsIgnoringPrices(MachineType other) {
+  /** Whether it differs from another in nothing but prices. */
+  public boolean equalsIgnoringPrices(@Nullable MachineType other) {
     return other != null
         && equals(
             new MachineType(
@@ -59,7 +75,7 @@
                 other.zones));
   }
 
-  /** Whether a task fits on an empty machine that the job allows. */
+  /** Whether a task of the job fits on an empty machine, and is allowed there. */
   public boolean fits(JobSpec job) {
     return cpus >= job.cpus()
         && gpus >= job.gpus()
--- a/src/main/java/org/saffronshore/wire/Priority.java
+++ b/src/main/java/org/saffronshore/wire/Priority.java
@@ -15,20 +15,25 @@
     this.rank = rank;
   }
 
-  /** The rank of the class; a higher one may preempt a lower one. */
+  /** The rank of the class, from 0; one of higher rank may preempt one of lower rank. */
   public int rank() {
     return rank;
   }
 
+  /** The name that the protocol uses. */
   public String wireName() {
     return wireName;
   }
 
-  /** Reads the name that the protocol uses. */
+  /**
+   * The class of a name that the protocol uses.
+   *
+   * @throws InvalidFieldException if there is no such class
+   */
   public static Priority fromWireName(String text) throws InvalidFieldException {
-    for (Priority p : values()) {
-      if (p.wireName.equals(text)) {
-        return p;
+    for (Priority priority : values()) {
+      if (priority.wireName.equals(text)) {
+        return priority;
       }
     }
     throw new InvalidFieldException("Urgency", "must be critical, urgent, standard or idle");
--- a/src/main/java/org/saffronshore/wire/TaskId.java
+++ b/src/main/java/org/saffronshore/wire/TaskId.java
@@ -1,9 +1,18 @@
 package org.saffronshore.wire;
 
-/** One task of a job, written {@code wk-000412/3}. */
+/**
+ * One task of a job, written {@code wk-000412/3}.
+ *
+ * @param job the job's id
+ * @param index the task's number in its job, from 0
+ */
 public record TaskId(String job, int index) {
 
-  /** Reads the form job/index. */
+  /**
+   * Reads the form that {@link #toString} writes.
+   *
+   * @throws InvalidFieldException if the text does not have that form
+   */
   public static TaskId parse(String text) throws InvalidFieldException {
     int slash = text.indexOf('/');
     try {
@@ -14,7 +23,7 @@
         }
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for every ill-formed name.
+      // Any text of another form gets the same message.
     }
     throw new InvalidFieldException("Leg", "must have the form wk-000412/3");
   }
--- a/src/test/java/org/saffronshore/TestData.java
+++ b/src/test/java/org/saffronshore/TestData.java
@@ -48,26 +48,7 @@
 
   /** A job that needs no other and may run anywhere. */
   public static JobSpec job(String id, String team, Priority priority, int tasks, double cpus) {
-    return new JobSpec(
-        id,
-        "class",
-        team,
-        priority,
-        tasks,
-        cpus,
-        0,
-        1,
-        "image",
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        30,
-        0,
-        0,
-        Double.POSITIVE_INFINITY);
+    return JobBuilder.job(id, team, priority).tasks(tasks).cpus(cpus).build();
   }
 
   public static final Map<String, MachineType> TYPES =
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -203,7 +203,7 @@
               task("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertEquals(
-        List.of("wk-0"), cluster.view().pending(true).stream().map(p -> p.job.id()).toList());
+        List.of("wk-0"), cluster.view().pending(true).stream().map(p -> p.job().id()).toList());
     assertFalse(cluster.machine("host-4").isQuarantined());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
@@ -108,26 +109,7 @@
   private void boundToZones(boolean oneZone, boolean spread, int launchMark) {
     JobSpec plain = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
     cluster.addJob(
-        new JobSpec(
-            plain.id(),
-            plain.jobClass(),
-            plain.team(),
-            plain.priority(),
-            plain.tasks(),
-            plain.cpus(),
-            plain.gpus(),
-            plain.memoryGb(),
-            plain.image(),
-            plain.imageGb(),
-            plain.machineTypes(),
-            plain.zone(),
-            oneZone,
-            spread,
-            plain.spot(),
-            plain.estimatedRuntimeS(),
-            plain.checkpointIntervalS(),
-            plain.checkpointDurationS(),
-            plain.deadlineS()),
+        JobBuilder.copyOf(plain).zoneConstraints(oneZone, spread).build(),
         1,
         0,
         new BitSet(),
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
@@ -27,26 +28,10 @@
   @CsvSource({"true, 1, true", "true, 24, false", "false, 1, true", "false, 20, false"})
   void aNoticeStopsWhatCannotEndInTime(boolean saves, double ran, boolean stopped) {
     JobSpec job =
-        new JobSpec(
-            "wk-1",
-            "class",
-            "red",
-            Priority.STANDARD,
-            1,
-            4,
-            0,
-            1,
-            "image",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            30,
-            saves ? 10 : 0,
-            saves ? 2 : 0,
-            Double.POSITIVE_INFINITY);
+        JobBuilder.job("wk-1", "red", Priority.STANDARD)
+            .cpus(4)
+            .checkpoints(saves ? 10 : 0, saves ? 2 : 0)
+            .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
     Machine m = up("host-1");
     long attempt = launch(m).launches().get(0).number();
@@ -63,26 +48,11 @@
   @Test
   void onlyWhatSavesAndRanForAWhileIsMoved() {
     JobSpec job =
-        new JobSpec(
-            "wk-1",
-            "class",
-            "red",
-            Priority.STANDARD,
-            1,
-            4,
-            0,
-            1,
-            "image",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            300,
-            10,
-            2,
-            Double.POSITIVE_INFINITY);
+        JobBuilder.job("wk-1", "red", Priority.STANDARD)
+            .cpus(4)
+            .estimatedRuntimeS(300)
+            .checkpoints(10, 2)
+            .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
     Machine m = up("host-1");
     long attempt = launch(m).launches().get(0).number();
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -36,7 +36,7 @@
   }
 
   private QuotaUsage.Amounts counted() {
-    return teams().get("red").use().cpus();
+    return teams().get("red").quotaUsage().cpus();
   }
 
   private void apply(String event) {
--- a/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
+++ b/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
@@ -58,11 +58,11 @@
   void tellsWhatCountsAndWhatItHoldsBack(
       double possible, double possiblyHeld, int byKnown, int byUnaccounted) {
     JobSpec job = TestData.job("wk-1", "red", Priority.STANDARD, 2, 4);
-    red.use(job, SchedulingSettings.DEFAULTS);
-    red.use(job, SchedulingSettings.DEFAULTS);
+    red.addLaunched(job, SchedulingSettings.DEFAULTS);
+    red.addLaunched(job, SchedulingSettings.DEFAULTS);
     red.addRunning(job);
     red.addPossible(possible, 0);
-    red.addPossiblyHeld(possiblyHeld, 0);
+    red.addUnattributed(possiblyHeld, 0);
     cycle();
     assertTells("saffronshore_team_cpus{kind=\"running\",team=\"red\"} 4.0");
     assertTells("saffronshore_team_cpus{kind=\"launched\",team=\"red\"} 8.0");
@@ -78,7 +78,7 @@
   void tellsWhenTheLimitItselfHoldsBack() {
     JobSpec job = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
     for (int i = 0; i < job.tasks(); i++) {
-      red.use(job, SchedulingSettings.DEFAULTS);
+      red.addLaunched(job, SchedulingSettings.DEFAULTS);
     }
     cycle();
     assertHeldBack(1, 0);
--- a/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
+++ b/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.BeforeEach;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.TestData;
 import org.saffronshore.http.Request;
 import org.saffronshore.wire.InvalidFieldException;
@@ -232,26 +233,7 @@
   }
 
   static JobSpec inOneZone(JobSpec j) {
-    return new JobSpec(
-        j.id(),
-        j.jobClass(),
-        j.team(),
-        j.priority(),
-        j.tasks(),
-        j.cpus(),
-        j.gpus(),
-        j.memoryGb(),
-        j.image(),
-        j.imageGb(),
-        j.machineTypes(),
-        j.zone(),
-        true,
-        false,
-        j.spot(),
-        j.estimatedRuntimeS(),
-        j.checkpointIntervalS(),
-        j.checkpointDurationS(),
-        j.deadlineS());
+    return JobBuilder.copyOf(j).zoneConstraints(true, false).build();
   }
 
   ControllerProcess leader() {
--- a/src/test/java/org/saffronshore/fleet/FleetTest.java
+++ b/src/test/java/org/saffronshore/fleet/FleetTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.TestData;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.scheduling.SchedulingPlan;
@@ -23,26 +24,13 @@
           "large", new MachineType("large", 16, 0, 64, 50, 1, 0.95, 0.37, 40, List.of("a")));
 
   private static JobSpec job(double cpus, boolean spot, String zone) {
-    return new JobSpec(
-        "wk-1",
-        "class",
-        "red",
-        Priority.URGENT,
-        100,
-        cpus,
-        0,
-        1,
-        "image",
-        1,
-        null,
-        zone,
-        false,
-        false,
-        spot,
-        30,
-        0,
-        0,
-        100);
+    return JobBuilder.job("wk-1", "red", Priority.URGENT)
+        .tasks(100)
+        .cpus(cpus)
+        .zone(zone)
+        .spot(spot)
+        .deadlineS(100)
+        .build();
   }
 
   /** Tasks, CPUs of each, spot, zone, kinds that the cloud lacks; then what is rented. */
--- /dev/null
+++ b/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
@@ -0,0 +1,45 @@
+package org.saffronshore.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.stream.Collectors;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.TestData;
+import org.saffronshore.wire.Priority;
+
+class OverdueJobTest extends SchedulingTestBase {
+
+  /**
+   * A large standard job that has waited for very long beside a queue of urgent ones, a machine of
+   * 8 CPUs on which some are free: what the cycle places. It gets one task, or else the room is
+   * kept until it is large enough.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "false, 8, urgent urgent",
+    "true, 8, standard",
+    "false, 4, urgent",
+    "true, 4, ''",
+    "true, 16, standard urgent urgent"
+  })
+  void overdueJobGetsOneTaskBeforeUrgentOnesOrReservesTheMachine(
+      boolean overdue, double freeCpus, String placed) {
+    addTeam("F", 0, 0);
+    addTeam("H", 0, 0);
+    MachineView machine = addMachine("one", Math.max(8, freeCpus));
+    if (freeCpus < 8) {
+      running(machine, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - freeCpus), 0, 1);
+    }
+    PendingJob standard = waiting(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
+    waiting(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
+    if (overdue) {
+      standard.markOverdue();
+    }
+    assertEquals(
+        placed,
+        placedJobs(run(0)).stream()
+            .map(job -> job.equals("wk-1") ? "standard" : "urgent")
+            .collect(Collectors.joining(" ")));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
@@ -0,0 +1,74 @@
+package org.saffronshore.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
+import org.saffronshore.TestData;
+import org.saffronshore.wire.Priority;
+
+/** Which running tasks are preempted or evicted for others. */
+class PreemptionTest extends SchedulingTestBase {
+
+  /** What runs on the only machine, what waits, and whether the one may be preempted. */
+  @ParameterizedTest
+  @CsvSource({
+    "F, STANDARD, H, URGENT, true",
+    "F, URGENT, H, URGENT, false",
+    "F, URGENT, H, STANDARD, false",
+    "F, STANDARD, G, STANDARD, true",
+    "F, URGENT, G, STANDARD, true",
+    "G, STANDARD, F, URGENT, false",
+    "G, STANDARD, G, URGENT, true",
+    "F, STANDARD, F, STANDARD, false"
+  })
+  void runningTaskIsPreemptedOnlyForHigherPriorityOrAnotherTeamsGuarantee(
+      String runningTeam,
+      Priority runningPriority,
+      String waitingTeam,
+      Priority waitingPriority,
+      boolean preempted) {
+    addTeam("G", 8, 0);
+    addTeam("F", 0, 0);
+    addTeam("H", 0, 0);
+    running(addMachine("one", 8), TestData.job("wk-1", runningTeam, runningPriority, 1, 8), 0, 1);
+    waiting(TestData.job("wk-2", waitingTeam, waitingPriority, 1, 8), 2);
+    for (double evictionProbability : new double[] {0, 1}) {
+      SchedulingPlan plan = run(evictionProbability);
+      assertEquals(preempted, !plan.preemptions().isEmpty());
+      assertEquals(0, plan.placements().size(), "nothing starts before the room is free");
+      if (preempted) {
+        return;
+      }
+    }
+  }
+
+  /**
+   * An evicted task is on its machine until it has been stopped: its team's waiting urgent task
+   * must not start elsewhere on the strength of an eviction that is only in memory.
+   */
+  @Test
+  void evictedTaskCountsAgainstItsTeamsLimit() {
+    addTeam("F", 0, 16);
+    addTeam("G", 8, 0);
+    running(addMachine("one", 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
+    addMachine("two", 8);
+    waiting(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
+    waiting(JobBuilder.job("wk-3", "G", Priority.STANDARD).cpus(8).zone("b").build(), 2);
+    assertEquals(List.of(), run(1).placements());
+  }
+
+  /** The texts stand in log lines. */
+  @Test
+  void reasonReadsAsTheTextForTheLog() {
+    assertEquals(
+        List.of("another team's guarantee", "the guarantee of G", "higher priority of wk-1"),
+        List.of(
+            new PreemptionReason.EvictedForGuarantee().toString(),
+            new PreemptionReason.Guarantee("G").toString(),
+            new PreemptionReason.HigherPriority("wk-1").toString()));
+  }
+}
--- a/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -8,280 +8,279 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.TaskId;
 
 /**
  * The cycle without anything that only makes it faster: it looks at every machine for every task.
- * What the real one decides is compared with this on random views.
+ * {@link SchedulingCycleEquivalenceTest} compares the plans of the real one with its plans. It
+ * repeats the rules of the real cycle on purpose, in one file and without its classes, so that a
+ * fault in those shows; it leaves out overdue jobs.
  */
 final class ReferenceCycle {
+  private static final double EPSILON = 1e-6;
 
-  /** A queue entry: a pending job, or one evicted task that may only return to its own host. */
-  private record Entry(PendingJob pending, PlacedTask evicted, MachineView home) {
+  /** A queue entry: a pending job, or one evicted task that may only return to its own machine. */
+  private record Entry(
+      @Nullable PendingJob pending, @Nullable PlacedTask evicted, @Nullable MachineView home) {
     JobSpec job() {
-      return evicted != null ? evicted.job() : pending.job;
+      return evicted != null ? evicted.job() : Objects.requireNonNull(pending).job();
     }
   }
 
-  private final Collection<MachineView> hosts;
+  private final Collection<MachineView> machines;
   private final Map<String, Team> teams;
-  private final SchedulingSettings tuning;
+  private final SchedulingSettings settings;
   private final Map<String, List<Entry>> queues = new LinkedHashMap<>();
   private final List<SchedulingPlan.Placement> placements = new ArrayList<>();
-  private final List<SchedulingPlan.Preemption> stops = new ArrayList<>();
-  private final List<SchedulingPlan.QuotaLimitedTasks> limited = new ArrayList<>();
+  private final List<SchedulingPlan.Preemption> preemptions = new ArrayList<>();
+  private final List<SchedulingPlan.QuotaLimitedTasks> quotaLimited = new ArrayList<>();
+  private final Map<PendingJob, Integer> unplaced = new LinkedHashMap<>();
   private final double now;
-  private final Map<PendingJob, Integer> unmet = new LinkedHashMap<>();
 
   private ReferenceCycle(
-      Collection<MachineView> hosts,
+      Collection<MachineView> machines,
       Map<String, Team> teams,
-      SchedulingSettings tuning,
+      SchedulingSettings settings,
       double now) {
-    this.now = now;
-    this.hosts = hosts;
+    this.machines = machines;
     this.teams = teams;
-    this.tuning = tuning;
+    this.settings = settings;
+    this.now = now;
   }
 
   /** Runs a cycle; only one with {@code evict} reconsiders tasks that are running. */
-  public static SchedulingPlan run(
-      Collection<MachineView> hosts,
+  static SchedulingPlan run(
+      Collection<MachineView> machines,
       Collection<PendingJob> jobs,
       Map<String, Team> teams,
-      SchedulingSettings tuning,
+      SchedulingSettings settings,
       boolean evict,
       RandomGenerator random,
       double now) {
-    ReferenceCycle cycle = new ReferenceCycle(hosts, teams, tuning, now);
+    ReferenceCycle cycle = new ReferenceCycle(machines, teams, settings, now);
     cycle.queue(jobs);
     if (evict) {
       cycle.evict(random);
     }
-    cycle.fill();
-    List<SchedulingPlan.UnplacedTasks> left = new ArrayList<>();
-    cycle.unmet.forEach((p, n) -> left.add(new SchedulingPlan.UnplacedTasks(p.job, n)));
-    return new SchedulingPlan(cycle.placements, cycle.stops, left, cycle.limited);
+    cycle.placeAll();
+    List<SchedulingPlan.UnplacedTasks> unplaced = new ArrayList<>();
+    cycle.unplaced.forEach(
+        (pending, tasks) -> unplaced.add(new SchedulingPlan.UnplacedTasks(pending.job(), tasks)));
+    return new SchedulingPlan(cycle.placements, cycle.preemptions, unplaced, cycle.quotaLimited);
+  }
+
+  private Team team(String name) {
+    return Objects.requireNonNull(teams.get(name));
+  }
+
+  private List<Entry> queueOf(String team) {
+    return queues.computeIfAbsent(team, name -> new ArrayList<>());
   }
 
   private void queue(Collection<PendingJob> jobs) {
     List<PendingJob> ordered = new ArrayList<>(jobs);
     ordered.sort(
-        Comparator.comparing((PendingJob p) -> -p.job.priority().rank())
-            .thenComparing(p -> p.order));
-    for (PendingJob p : ordered) {
-      if (!p.isEmpty() && teams.containsKey(p.job.team())) {
-        queues.computeIfAbsent(p.job.team(), t -> new ArrayList<>()).add(new Entry(p, null, null));
+        Comparator.comparing((PendingJob pending) -> -pending.job().priority().rank())
+            .thenComparing(PendingJob::submissionOrder));
+    for (PendingJob pending : ordered) {
+      if (!pending.isEmpty() && teams.containsKey(pending.job().team())) {
+        queueOf(pending.job().team()).add(new Entry(pending, null, null));
       }
     }
   }
 
   /**
-   * Takes preemptible tasks off their hosts, in memory only. The protocol is narrower than the
-   * paper here: among equals, only what a team runs beyond its guarantee may be stopped, and only
-   * to give another its guarantee.
+   * Takes preemptible tasks off their machines, in memory only: among equals, only what a team runs
+   * beyond its guarantee, and only to give another its guarantee.
    */
   private void evict(RandomGenerator random) {
-    Set<String> starved = new HashSet<>();
+    Set<String> belowGuarantee = new HashSet<>();
     queues.forEach(
         (name, queue) -> {
-          Team team = teams.get(name);
-          if (queue.stream().anyMatch(e -> team.withinGuarantee(e.job()))) {
-            starved.add(name);
+          if (queue.stream().anyMatch(entry -> team(name).withinGuarantee(entry.job()))) {
+            belowGuarantee.add(name);
           }
         });
-    if (starved.isEmpty()) {
+    if (belowGuarantee.isEmpty()) {
       return;
     }
-    Set<String> touched = new HashSet<>();
-    for (MachineView host : hosts) {
-      if (random.nextDouble() >= tuning.evictionProbability()) {
+    Set<String> changed = new HashSet<>();
+    for (MachineView machine : machines) {
+      if (random.nextDouble() >= settings.evictionProbability()) {
         continue;
       }
-      for (PlacedTask slot : List.copyOf(host.preemptibleTasks)) {
-        Team owner = teams.get(slot.job().team());
-        if (owner == null
-            || starved.contains(slot.job().team())
-            || !owner.beyondGuarantee(slot.job())) {
+      for (PlacedTask task : List.copyOf(machine.preemptibleTasks())) {
+        String name = task.job().team();
+        Team owner = teams.get(name);
+        if (owner == null || belowGuarantee.contains(name) || !owner.beyondGuarantee(task.job())) {
           continue;
         }
-        host.evict(slot);
-        owner.share(slot.job(), tuning, -1);
-        queues
-            .computeIfAbsent(slot.job().team(), t -> new ArrayList<>())
-            .add(0, new Entry(null, slot, host));
-        touched.add(slot.job().team());
+        machine.evict(task);
+        owner.removeFromShare(task.job(), settings);
+        queueOf(name).add(0, new Entry(null, task, machine));
+        changed.add(name);
       }
     }
-    sortByClass(touched);
-  }
-
-  /** Evicted tasks head their queues, in each class. */
-  private void sortByClass(Set<String> names) {
-    for (String name : names) {
-      queues.get(name).sort(Comparator.comparingInt((Entry e) -> -e.job().priority().rank()));
+    // Evicted tasks head their queues, in each priority.
+    for (String name : changed) {
+      queueOf(name).sort(Comparator.comparingInt(entry -> -entry.job().priority().rank()));
     }
   }
 
   /** What the next entry of a team stands for when teams are compared. */
-  private record Head(String team, boolean guaranteed, int priority, double fraction, int rank) {
+  private record Head(String team, boolean guaranteed, int priority, double fraction, int index) {
     static final Comparator<Head> ORDER =
-        Comparator.comparing((Head h) -> !h.guaranteed)
-            .thenComparingInt(h -> -h.priority)
+        Comparator.comparing((Head head) -> !head.guaranteed)
+            .thenComparingInt(head -> -head.priority)
             .thenComparingDouble(Head::fraction)
-            .thenComparingInt(Head::rank);
+            .thenComparingInt(Head::index);
   }
 
-  /**
-   * The smallest fraction of its fair share, counting the task at the head, decides which team is
-   * next. But what could stop others goes before them: first what is within a guarantee, then
-   * higher classes. Were the others placed first, they would only be stopped in the next cycle,
-   * again and again.
-   */
-  private void fill() {
+  private void placeAll() {
     PriorityQueue<Head> heads = new PriorityQueue<>(Head.ORDER);
-    Map<String, Integer> at = new HashMap<>();
+    Map<String, Integer> positions = new HashMap<>();
     List<String> names = new ArrayList<>(queues.keySet());
     for (int i = 0; i < names.size(); i++) {
-      at.put(names.get(i), 0);
       heads.add(head(names.get(i), 0, i));
     }
     while (!heads.isEmpty()) {
-      Head head = heads.poll();
-      List<Entry> queue = queues.get(head.team);
-      int index = at.get(head.team);
-      if (step(queue.get(index), teams.get(head.team))) {
-        at.put(head.team, ++index);
+      Head head = heads.remove();
+      List<Entry> queue = queueOf(head.team);
+      int position = positions.getOrDefault(head.team, 0);
+      if (placeNext(queue.get(position), team(head.team))) {
+        positions.put(head.team, ++position);
       }
-      if (index < queue.size()) {
-        heads.add(head(head.team, index, head.rank));
+      if (position < queue.size()) {
+        heads.add(head(head.team, position, head.index));
       }
     }
   }
 
-  private Head head(String name, int index, int rank) {
-    JobSpec job = queues.get(name).get(index).job();
-    Team team = teams.get(name);
+  private Head head(String name, int position, int index) {
+    JobSpec job = queueOf(name).get(position).job();
+    Team team = team(name);
     return new Head(
         name,
         team.withinGuarantee(job),
         job.priority().rank(),
-        team.fraction(tuning.cost(job)),
-        rank);
+        team.fractionOfShareWith(settings.cost(job)),
+        index);
   }
 
   /** Places one task of the entry; true when the entry has nothing more to place. */
-  private boolean step(Entry entry, Team team) {
-    JobSpec job = entry.job();
+  private boolean placeNext(Entry entry, Team team) {
     if (entry.evicted != null) {
-      if (entry.home.freeAfterStops.fits(job)) {
-        entry.home.place(job);
-        team.share(job, tuning, 1);
-      } else {
-        stops.add(
-            new SchedulingPlan.Preemption(
-                entry.evicted.task(), entry.home.id, "another team's guarantee"));
-      }
+      placeAgain(entry.evicted, Objects.requireNonNull(entry.home), team);
       return true;
     }
-    PendingJob pending = entry.pending;
+    PendingJob pending = Objects.requireNonNull(entry.pending);
+    JobSpec job = pending.job();
     if (!team.withinLimit(job)) {
-      limited.add(
+      quotaLimited.add(
           new SchedulingPlan.QuotaLimitedTasks(
-              job, pending.remaining(), team.withinLimitOfKnown(job), team.use()));
+              job, pending.remaining(), team.withinLimitIfReconciled(job), team.quotaUsage()));
       return true;
     }
-    TaskId task = new TaskId(job.id(), pending.next());
-    MachineView host = choose(pending, task);
-    if (host == null) {
-      host = preempt(pending, task, team);
+    TaskId task = new TaskId(job.id(), pending.nextTask());
+    MachineView machine = select(pending, task);
+    if (machine == null) {
+      machine = preempt(pending, task, team);
     }
-    if (host == null) {
-      unmet.put(pending, team.tasksWithinLimit(job, pending.remaining()));
+    if (machine == null) {
+      unplaced.put(pending, team.tasksWithinLimit(job, pending.remaining()));
       return true;
     }
-    pending.taskPlaced(host.kind.zone());
-    QuotaUsage counted = team.use();
-    team.use(job, tuning);
-    host.place(job);
-    if (host.free.fits(job)) {
-      host.free.subtract(job);
-      placements.add(new SchedulingPlan.Placement(task, host.id, false, counted));
+    pending.nextTaskPlaced(machine.kind().zone());
+    QuotaUsage counted = team.quotaUsage();
+    team.addLaunched(job, settings);
+    machine.place(job);
+    if (machine.freeNow().fits(job)) {
+      machine.freeNow().subtract(job);
+      placements.add(new SchedulingPlan.Placement(task, machine.id(), false, counted));
     }
     return pending.isEmpty();
   }
 
-  /**
-   * Machines used only by the team, then shared ones, then empty ones, and in each set the one with
-   * the least free room; what is free now goes before what is only being freed. The design takes
-   * empty machines before shared ones; here every second of a machine is paid for, and one that
-   * stays empty can be returned.
-   */
-  private MachineView choose(PendingJob pending, TaskId task) {
+  private void placeAgain(PlacedTask evicted, MachineView home, Team team) {
+    JobSpec job = evicted.job();
+    if (home.freeAfterStops().fits(job)) {
+      home.place(job);
+      team.addToShare(job, settings);
+    } else {
+      preemptions.add(
+          new SchedulingPlan.Preemption(
+              evicted.task(), home.id(), new PreemptionReason.EvictedForGuarantee()));
+    }
+  }
+
+  private @Nullable MachineView select(PendingJob pending, TaskId task) {
     MachineView best = null;
-    for (MachineView host : hosts) {
-      if (host.freeAfterStops.fits(pending.job)
-          && allowed(host, pending, task)
-          && (best == null || better(host, best, pending.job))) {
-        best = host;
+    for (MachineView machine : machines) {
+      if (machine.freeAfterStops().fits(pending.job())
+          && isAllowed(machine, pending, task)
+          && (best == null || isBetter(machine, best, pending.job()))) {
+        best = machine;
       }
     }
     return best;
   }
 
-  private static boolean allowed(MachineView host, PendingJob pending, TaskId task) {
-    return host.kind.allows(pending.job)
-        && pending.zoneAllowed(host.kind.zone())
-        && !host.hasTraceOf(task);
+  private static boolean isAllowed(MachineView machine, PendingJob pending, TaskId task) {
+    return machine.kind().allows(pending.job())
+        && pending.isZoneAllowed(machine.kind().zone())
+        && !machine.hasTraceOf(task);
   }
 
-  private static boolean better(MachineView a, MachineView b, JobSpec job) {
-    boolean nowA = a.free.fits(job);
-    if (nowA != b.free.fits(job)) {
-      return nowA;
+  private static boolean isBetter(MachineView machine, MachineView best, JobSpec job) {
+    boolean fitsNow = machine.freeNow().fits(job);
+    if (fitsNow != best.freeNow().fits(job)) {
+      return fitsNow;
     }
-    if (Math.abs(a.cpus - b.cpus) > 1e-6) {
-      return a.cpus < b.cpus;
+    if (Math.abs(machine.totalCpus() - best.totalCpus()) > EPSILON) {
+      return machine.totalCpus() < best.totalCpus();
     }
-    boolean heldByA = a.hasImage(job.image());
-    if (heldByA != b.hasImage(job.image())) {
-      return heldByA;
+    boolean hasImage = machine.hasImage(job.image());
+    if (hasImage != best.hasImage(job.image())) {
+      return hasImage;
     }
-    if (a.kind.spot() != b.kind.spot()) {
-      return a.kind.spot();
+    if (machine.kind().spot() != best.kind().spot()) {
+      return machine.kind().spot();
     }
-    int setA = a.sharingRank(job.team());
-    int setB = b.sharingRank(job.team());
-    if (setA != setB) {
-      return setA < setB;
+    MachineView.Sharing sharing = machine.sharing(job.team());
+    MachineView.Sharing sharingOfBest = best.sharing(job.team());
+    if (sharing != sharingOfBest) {
+      return sharing.compareTo(sharingOfBest) < 0;
     }
-    return a.freeAfterStops.cpus < b.freeAfterStops.cpus - 1e-6;
+    return machine.freeAfterStops().cpus < best.freeAfterStops().cpus - EPSILON;
   }
 
   /**
-   * Makes room on the host where that wastes the least work, by stops that the protocol allows;
-   * null if nowhere.
+   * Makes room on the machine where that wastes the least work, by preemptions that the protocol
+   * allows; null if nowhere.
    */
-  private MachineView preempt(PendingJob pending, TaskId task, Team team) {
-    boolean guaranteed = team.withinGuarantee(pending.job);
+  private @Nullable MachineView preempt(PendingJob pending, TaskId task, Team team) {
+    JobSpec job = pending.job();
+    boolean guaranteed = team.withinGuarantee(job);
     MachineView best = null;
-    List<PlacedTask> bestVictims = null;
+    List<PlacedTask> bestVictims = List.of();
     double bestLoss = Double.POSITIVE_INFINITY;
-    for (MachineView host : hosts) {
-      if (!allowed(host, pending, task)) {
+    for (MachineView machine : machines) {
+      if (!isAllowed(machine, pending, task)) {
+        continue;
+      }
+      List<PlacedTask> victims = victims(machine, job, guaranteed);
+      if (victims == null) {
         continue;
       }
-      List<PlacedTask> victims = victims(host, pending.job, guaranteed);
-      double loss =
-          victims == null
-              ? Double.POSITIVE_INFINITY
-              : victims.stream().mapToDouble(s -> s.lostWorkS(now) * tuning.cost(s.job())).sum();
+      double loss = victims.stream().mapToDouble(this::loss).sum();
       if (loss < bestLoss) {
-        best = host;
+        best = machine;
         bestVictims = victims;
         bestLoss = loss;
       }
@@ -291,67 +290,71 @@
     }
     for (PlacedTask victim : bestVictims) {
       best.evict(victim);
-      teams.get(victim.job().team()).share(victim.job(), tuning, -1);
-      stops.add(
+      team(victim.job().team()).removeFromShare(victim.job(), settings);
+      preemptions.add(
           new SchedulingPlan.Preemption(
               victim.task(),
-              best.id,
+              best.id(),
               guaranteed
-                  ? "the guarantee of " + pending.job.team()
-                  : "higher priority of " + pending.job.id()));
+                  ? new PreemptionReason.Guarantee(job.team())
+                  : new PreemptionReason.HigherPriority(job.id())));
     }
     return best;
   }
 
-  private List<PlacedTask> victims(MachineView host, JobSpec job, boolean guaranteed) {
-    Resources room = host.freeAfterStops.copy();
+  private double loss(PlacedTask task) {
+    return task.lostWorkS(now) * settings.cost(task.job());
+  }
+
+  private @Nullable List<PlacedTask> victims(MachineView machine, JobSpec job, boolean guaranteed) {
+    Resources room = machine.freeAfterStops().copy();
     List<PlacedTask> victims = new ArrayList<>();
-    Map<String, Resources> taken = new HashMap<>();
-    for (PlacedTask slot : candidates(host, job, guaranteed)) {
+    Map<String, Resources> preemptedByTeam = new HashMap<>();
+    for (PlacedTask task : candidates(machine, job, guaranteed)) {
       if (room.fits(job)) {
         break;
       }
+      String team = task.job().team();
       boolean lower =
-          slot.job().priority().rank() < job.priority().rank()
-              && (guaranteed || slot.job().team().equals(job.team()));
-      Resources sum = taken.computeIfAbsent(slot.job().team(), t -> new Resources(0, 0, 0));
-      sum.add(slot.job());
+          task.job().priority().rank() < job.priority().rank()
+              && (guaranteed || team.equals(job.team()));
+      Resources preempted = preemptedByTeam.computeIfAbsent(team, name -> new Resources(0, 0, 0));
+      preempted.add(task.job());
       // Several victims of one team may together reach into its guarantee even if none does alone.
-      if (!lower && reachesGuarantee(teams.get(slot.job().team()), sum)) {
-        sum.subtract(slot.job());
+      if (!lower && reachesGuarantee(team(team), preempted)) {
+        preempted.subtract(task.job());
         continue;
       }
-      victims.add(slot);
-      room.add(slot.job());
+      victims.add(task);
+      room.add(task.job());
     }
     return room.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
-  private static boolean reachesGuarantee(Team owner, Resources sum) {
-    return (owner.quota.guaranteedCpus() > 0
-            && owner.cpus - sum.cpus < owner.quota.guaranteedCpus() - 1e-6)
-        || (owner.quota.guaranteedGpus() > 0
-            && owner.gpus - sum.gpus < owner.quota.guaranteedGpus() - 1e-6);
+  private static boolean reachesGuarantee(Team owner, Resources preempted) {
+    return (owner.quota().guaranteedCpus() > 0
+            && owner.share().cpus - preempted.cpus < owner.quota().guaranteedCpus() - EPSILON)
+        || (owner.quota().guaranteedGpus() > 0
+            && owner.share().gpus - preempted.gpus < owner.quota().guaranteedGpus() - EPSILON);
   }
 
-  private List<PlacedTask> candidates(MachineView host, JobSpec job, boolean guaranteed) {
+  private List<PlacedTask> candidates(MachineView machine, JobSpec job, boolean guaranteed) {
     List<PlacedTask> candidates = new ArrayList<>();
-    for (PlacedTask slot : host.preemptibleTasks) {
-      Team owner = teams.get(slot.job().team());
+    for (PlacedTask task : machine.preemptibleTasks()) {
+      Team owner = teams.get(task.job().team());
       if (owner == null) {
         continue;
       }
-      boolean lower = slot.job().priority().rank() < job.priority().rank();
-      boolean own = slot.job().team().equals(job.team());
-      // Of two teams only the one within its guarantee may stop the other, or they would take turns
-      // at it.
+      boolean lower = task.job().priority().rank() < job.priority().rank();
+      boolean own = task.job().team().equals(job.team());
+      // Of two teams only the one within its guarantee may preempt the other, or they would do so
+      // in turn.
       if ((lower && (guaranteed || own))
-          || ((lower || (guaranteed && !own)) && owner.beyondGuarantee(slot.job()))) {
-        candidates.add(slot);
+          || ((lower || (guaranteed && !own)) && owner.beyondGuarantee(task.job()))) {
+        candidates.add(task);
       }
     }
-    candidates.sort(
-        Comparator.comparingDouble((PlacedTask s) -> s.lostWorkS(now) * tuning.cost(s.job())));
+    candidates.sort(Comparator.comparingDouble(this::loss));
     return candidates;
   }
 }
