--- /dev/null
+++ b/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
@@ -0,0 +1,77 @@
+package org.saffronshore.autoscaling;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.saffronshore.admin.Metrics;
+import org.saffronshore.cloud.CloudClient;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.Machine;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.LeaderTerm;
+
+/** The return requests of one term that are in flight; they are repeated until they succeed. */
+final class MachineReturns {
+  private final EventLoop loop;
+  private final CloudClient cloud;
+  private final Metrics metrics;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final CapacityBackoff backoff;
+  private final double retryDelayS;
+  private final Set<String> inFlight = new HashSet<>();
+
+  MachineReturns(
+      EventLoop loop,
+      Settings settings,
+      CloudClient cloud,
+      Metrics metrics,
+      LeaderTerm term,
+      Cluster cluster,
+      CapacityBackoff backoff) {
+    this.loop = loop;
+    this.cloud = cloud;
+    this.metrics = metrics;
+    this.term = term;
+    this.cluster = cluster;
+    this.backoff = backoff;
+    this.retryDelayS = settings.heartbeatIntervalS() / 3;
+  }
+
+  /** Whether the return of this machine has been requested, and not been answered yet. */
+  boolean isInFlight(Machine machine) {
+    return inFlight.contains(machine.id());
+  }
+
+  /** Requests the return of machines, {@link CloudClient#MAX_MACHINES_RETURNED} at most. */
+  void request(List<String> machines) {
+    inFlight.addAll(machines);
+    send(machines);
+  }
+
+  private void send(List<String> machines) {
+    cloud.returnMachines(machines, succeeded -> onResult(machines, succeeded));
+  }
+
+  private void onResult(List<String> machines, boolean succeeded) {
+    if (succeeded) {
+      inFlight.removeAll(machines);
+      metrics.increment(Metrics.Counter.RETURNED, machines.size());
+      machines.forEach(this::onReturned);
+    } else if (term.isActive()) {
+      loop.schedule(retryDelayS, () -> send(machines));
+    } else {
+      // A successor may have launched tasks on them since: it decides whether they are returned.
+      inFlight.removeAll(machines);
+    }
+  }
+
+  private void onReturned(String id) {
+    Machine machine = cluster.machine(id);
+    if (machine != null) {
+      backoff.onAvailable(machine.kind());
+      cluster.machineRemoved(machine, "returned");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/autoscaling/MachineTypeCache.java
@@ -0,0 +1,149 @@
+package org.saffronshore.autoscaling;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
+import org.saffronshore.cloud.CloudClient;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.Leadership;
+import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.GetResult;
+import org.saffronshore.state.Keys;
+import org.saffronshore.state.StateClient;
+import org.saffronshore.state.Transaction;
+import org.saffronshore.wire.InvalidFieldException;
+import org.saffronshore.wire.MachineType;
+import org.saffronshore.wire.MachineTypeList;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The cloud's machine types. The leader stores them in the state service: controllers that start
+ * while the cloud's API is away could otherwise neither accept jobs nor place tasks, although all
+ * machines are there.
+ */
+public final class MachineTypeCache {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
+
+  private static final int BYTES_PER_KB = 1024;
+
+  private final EventLoop loop;
+  private final Settings settings;
+  private final CloudClient cloud;
+  private final StateClient state;
+  private final Leadership leadership;
+  private final Consumer<Map<String, MachineType>> onChange;
+  private Map<String, MachineType> machineTypes = Map.of();
+  private Map<String, MachineType> storedTypes = Map.of();
+
+  /** The last list from the cloud, or null before the first one. */
+  private @Nullable MachineTypeList fromCloud;
+
+  /**
+   * Creates an empty cache.
+   *
+   * @param onChange receives the machine types whenever they have been read
+   */
+  public MachineTypeCache(
+      EventLoop loop,
+      Settings settings,
+      CloudClient cloud,
+      StateClient state,
+      Leadership leadership,
+      Consumer<Map<String, MachineType>> onChange) {
+    this.loop = loop;
+    this.settings = settings;
+    this.cloud = cloud;
+    this.state = state;
+    this.leadership = leadership;
+    this.onChange = onChange;
+  }
+
+  /** The machine types by name; empty until the state service or the cloud has been read. */
+  public Map<String, MachineType> machineTypes() {
+    return machineTypes;
+  }
+
+  /** Reads the stored types, and from then on the cloud's list at intervals. */
+  public void start() {
+    readStored();
+    readCloud();
+  }
+
+  private void readStored() {
+    state.get(Keys.MACHINE_TYPES, true, this::onStoredRead);
+  }
+
+  private void onStoredRead(GetResult result) {
+    if (result.isFound()) {
+      storedTypes = typesIn(result);
+      if (machineTypes.isEmpty()) {
+        update(storedTypes);
+      }
+    } else if (machineTypes.isEmpty()) {
+      loop.schedule(settings.heartbeatIntervalS() / 6, this::readStored);
+    }
+  }
+
+  private static Map<String, MachineType> typesIn(GetResult result) {
+    try {
+      return MachineTypeList.parse(result.value()).types();
+    } catch (InvalidFieldException e) {
+      LOG.error("Stored machine types cannot be read: reason=\"{}\"", e.getMessage());
+      return Map.of();
+    }
+  }
+
+  private void readCloud() {
+    cloud.listMachineTypes(this::onCloudRead);
+  }
+
+  private void onCloudRead(Optional<MachineTypeList> list) {
+    boolean usable = list.isPresent() && !list.get().types().isEmpty();
+    if (usable) {
+      update(list.get().types());
+      fromCloud = list.get();
+      persist();
+    }
+    loop.schedule(
+        usable ? settings.workerLeaseS() : settings.heartbeatIntervalS() / 3, this::readCloud);
+  }
+
+  private void update(Map<String, MachineType> types) {
+    machineTypes = types;
+    onChange.accept(types);
+  }
+
+  /** Stores the cloud's list if this controller leads and the stored one differs. */
+  public void persist() {
+    MachineTypeList list = fromCloud;
+    if (list == null
+        || isStored()
+        || !leadership.holdsStoreLease()
+        || list.sizeBytes() > settings.maxValueKb() * BYTES_PER_KB) {
+      return;
+    }
+    Map<String, MachineType> types = machineTypes;
+    state.commit(
+        new Transaction()
+            .expectVersion(Keys.LEADER, leadership.leaderKeyVersion())
+            .put(Keys.MACHINE_TYPES, list.toJson()),
+        false,
+        result -> onCommitted(result, types));
+  }
+
+  /** Whether the stored types differ from the current ones in nothing but prices, which move. */
+  private boolean isStored() {
+    return storedTypes.keySet().equals(machineTypes.keySet())
+        && machineTypes.values().stream()
+            .allMatch(type -> type.equalsIgnoringPrices(storedTypes.get(type.name())));
+  }
+
+  private void onCommitted(CommitResult result, Map<String, MachineType> types) {
+    if (result.isCommitted()) {
+      storedTypes = types;
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
@@ -0,0 +1,142 @@
+package org.saffronshore.autoscaling;
+
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.saffronshore.admin.Metrics;
+import org.saffronshore.cloud.CloudClient;
+import org.saffronshore.cloud.RentalResult;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.LeaderTerm;
+import org.saffronshore.wire.MachineKind;
+import org.saffronshore.wire.RentalRequest;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The rental orders of one term that are in flight. An order whose outcome is unknown is repeated
+ * under its name; a refused one puts its kind into backoff.
+ */
+final class RentalOrders {
+  private static final Logger LOG = LoggerFactory.getLogger(RentalOrders.class);
+
+  /**
+   * An order that the cloud has not answered yet.
+   *
+   * @param requestedAt when it was placed, on the event loop's clock
+   */
+  record RentalOrder(RentalRequest request, double requestedAt) {
+    MachineKind kind() {
+      return request.kind();
+    }
+
+    int count() {
+      return request.count();
+    }
+  }
+
+  private final EventLoop loop;
+  private final CloudClient cloud;
+  private final Metrics metrics;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final CapacityBackoff backoff;
+  private final int maxInFlight;
+  private final double retryDelayS;
+  private final Map<String, RentalOrder> inFlight = new LinkedHashMap<>();
+  private long lastNumber;
+
+  RentalOrders(
+      EventLoop loop,
+      Settings settings,
+      CloudClient cloud,
+      Metrics metrics,
+      LeaderTerm term,
+      Cluster cluster,
+      CapacityBackoff backoff) {
+    this.loop = loop;
+    this.cloud = cloud;
+    this.metrics = metrics;
+    this.term = term;
+    this.cluster = cluster;
+    this.backoff = backoff;
+    // What the cloud takes in about two seconds: more would only queue here and be outdated by
+    // then.
+    this.maxInFlight = (int) Math.max(2, 2 * settings.cloudRequestsPerS());
+    this.retryDelayS = settings.heartbeatIntervalS() / 3;
+  }
+
+  /** The orders in flight, the oldest first. */
+  Collection<RentalOrder> inFlight() {
+    return Collections.unmodifiableCollection(inFlight.values());
+  }
+
+  /** Whether no further order can be placed now. */
+  boolean isFull() {
+    return inFlight.size() >= maxInFlight;
+  }
+
+  /**
+   * Orders machines of a kind, in as many orders as the cloud's limit makes necessary. What does
+   * not go out because too many orders are in flight is dropped: the next run plans anew.
+   */
+  void place(MachineKind kind, int count) {
+    for (int left = count;
+        left > 0 && !isFull() && term.isActive();
+        left -= CloudClient.MAX_MACHINES_RENTED) {
+      RentalRequest request =
+          new RentalRequest(
+              "r-" + term.number() + "-" + ++lastNumber,
+              kind,
+              Math.min(left, CloudClient.MAX_MACHINES_RENTED));
+      RentalOrder order = new RentalOrder(request, loop.now());
+      inFlight.put(request.name(), order);
+      send(order);
+    }
+  }
+
+  private void send(RentalOrder order) {
+    cloud.rentMachines(order.request, result -> onResult(order, result));
+  }
+
+  private void onResult(RentalOrder order, RentalResult result) {
+    boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
+    if (unknown && term.isActive()) {
+      // It may have been carried out: only the same name again tells, and rents nothing twice.
+      loop.schedule(retryDelayS, () -> send(order));
+      return;
+    }
+    RentalRequest request = order.request;
+    inFlight.remove(request.name());
+    switch (result.outcome()) {
+      case RENTED -> onRented(order, result.machines());
+      case NO_CAPACITY -> {
+        LOG.info("Rental refused, the cloud has no capacity: {}", request);
+        backoff.onRefused(request.kind());
+      }
+      case MALFORMED -> {
+        LOG.error("Rental refused, the cloud calls the request malformed: {}", request);
+        backoff.onRefused(request.kind());
+      }
+      default -> LOG.debug("Rental order left to the next leader: order={}", request.name());
+    }
+  }
+
+  private void onRented(RentalOrder order, List<String> machines) {
+    MachineKind kind = order.kind();
+    LOG.debug("Rented machines: {} rented={}", order.request, machines.size());
+    metrics.increment(Metrics.Counter.RENTED, machines.size());
+    for (String machine : machines) {
+      cluster.machineRented(machine, kind.type(), kind.zone(), kind.spot(), order.requestedAt);
+    }
+    if (machines.size() < order.count()) {
+      backoff.onRefused(kind);
+    } else {
+      backoff.onAvailable(kind);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
@@ -0,0 +1,113 @@
+package org.saffronshore.autoscaling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.saffronshore.cloud.CloudClient;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.Machine;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.LeaderTerm;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Returns machines that are idle, lost, faulty or about to be taken back, for one term. */
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
+
+  /** A machine that boots for longer than this multiple of the usual time is given up. */
+  private static final double LOST_BOOT_FACTOR = 3;
+
+  /** An idle machine is kept for this share of the time that a new one takes to boot. */
+  private static final double IDLE_BOOT_SHARE = 0.25;
+
+  private final EventLoop loop;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final BootTimes bootTimes;
+  private final MachineReturns returns;
+
+  ScaleIn(
+      EventLoop loop,
+      LeaderTerm term,
+      Cluster cluster,
+      BootTimes bootTimes,
+      MachineReturns returns) {
+    this.loop = loop;
+    this.term = term;
+    this.cluster = cluster;
+    this.bootTimes = bootTimes;
+    this.returns = returns;
+  }
+
+  /** Returns machines that are not needed any more, on-demand machines first. */
+  void returnUnneeded() {
+    double now = loop.now();
+    List<String> unneeded = new ArrayList<>();
+    List<Machine> onDemandFirst = new ArrayList<>(cluster.machines());
+    onDemandFirst.sort(Comparator.comparing(Machine::isSpot));
+    SpareCapacity spare = new SpareCapacity(cluster, bootTimes, now, returns::isInFlight);
+    for (Machine machine : onDemandFirst) {
+      if (unneeded.size() == CloudClient.MAX_MACHINES_RETURNED) {
+        break;
+      }
+      if (returns.isInFlight(machine)) {
+        continue;
+      }
+      Optional<ReturnReason> reason = reasonToReturn(machine, now, spare);
+      if (reason.isPresent()) {
+        LOG.debug("Returning machine: machine={} reason={}", machine.id(), reason.get());
+        cluster.markReturning(machine);
+        unneeded.add(machine.id());
+        spare.remove(machine);
+      }
+    }
+    if (!unneeded.isEmpty()) {
+      returns.request(unneeded);
+    }
+  }
+
+  /** Empty when the machine is kept. */
+  private Optional<ReturnReason> reasonToReturn(Machine machine, double now, SpareCapacity spare) {
+    double bootS = bootTimes.ofTypeS(machine.type());
+    if (machine.hasFailed()) {
+      return Optional.of(ReturnReason.FAILED);
+    }
+    if (!machine.wasEverUp()) {
+      boolean bootFailed = now > machine.rentedAt() + LOST_BOOT_FACTOR * bootS;
+      return bootFailed && machine.isEmpty() && !cluster.isUnreconciled(machine)
+          ? Optional.of(ReturnReason.NEVER_UP)
+          : Optional.empty();
+    }
+    if (!machine.isUp()) {
+      return Optional.of(ReturnReason.LOST);
+    }
+    if (cluster.unresponsiveMachines().isUnusable(machine)) {
+      return Optional.of(ReturnReason.UNRESPONSIVE);
+    }
+    return machine.isEmpty() && machine.isReconciled()
+        ? reasonToReturnEmpty(machine, now, bootS, spare)
+        : Optional.empty();
+  }
+
+  private Optional<ReturnReason> reasonToReturnEmpty(
+      Machine machine, double now, double bootS, SpareCapacity spare) {
+    if (machine.isDraining()) {
+      return Optional.of(ReturnReason.DRAINED);
+    }
+    if (machine.isQuarantined()) {
+      return Optional.of(ReturnReason.QUARANTINED);
+    }
+    if (machine.hasPreemptionNotice()) {
+      return Optional.of(ReturnReason.PREEMPTION_NOTICE);
+    }
+    // Without the state service no job can be accepted, and no task launched above the launch
+    // watermark: that machines are idle then says nothing about how many are needed.
+    boolean idle =
+        term.holdsStoreLease()
+            && now > machine.idleSince() + IDLE_BOOT_SHARE * bootS
+            && now > machine.rentedAt() + Consolidation.MIN_BILLED_S;
+    return idle && !spare.needs(machine) ? Optional.of(ReturnReason.IDLE) : Optional.empty();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -0,0 +1,68 @@
+package org.saffronshore.autoscaling;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Predicate;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.Machine;
+import org.saffronshore.fleet.ArrivalStatistics;
+import org.saffronshore.fleet.ArrivalStatistics.ExpectedJob;
+import org.saffronshore.scheduling.Resources;
+
+/**
+ * Capacity that is kept although it is idle: a typical job of each class that still arrives should
+ * find room. Valid for one run of scale in.
+ */
+final class SpareCapacity {
+  /** Room for this many typical jobs of each class is kept. */
+  private static final double JOBS_PER_CLASS = 1;
+
+  private final Map<Machine, Resources> free = new HashMap<>();
+
+  /** How many tasks of each expected job fit on all machines together. */
+  private final Map<ExpectedJob, Double> fittingTasks = new LinkedHashMap<>();
+
+  /**
+   * Counts what is free on the machines of the cluster.
+   *
+   * @param excluded machines that do not count, since they are being returned
+   */
+  SpareCapacity(Cluster cluster, BootTimes bootTimes, double now, Predicate<Machine> excluded) {
+    cluster
+        .arrivals()
+        .expectedJobs(now, bootTimes.longestS() / 2)
+        .forEach(expected -> fittingTasks.put(expected, 0.0));
+    for (Machine machine : cluster.machines()) {
+      Resources freeOnMachine = excluded.test(machine) ? null : cluster.view().freeOn(machine);
+      if (freeOnMachine != null) {
+        free.put(machine, freeOnMachine);
+        fittingTasks.replaceAll((expected, sum) -> sum + fittingTasksOn(machine, expected));
+      }
+    }
+  }
+
+  private double fittingTasksOn(Machine machine, ExpectedJob expected) {
+    Resources freeOnMachine = free.get(machine);
+    return freeOnMachine == null || !machine.kind().allows(expected.task())
+        ? 0
+        : ArrivalStatistics.fittingTasks(freeOnMachine, expected.task());
+  }
+
+  /** Whether a typical job of some class would find no room without this machine. */
+  boolean needs(Machine machine) {
+    return fittingTasks.entrySet().stream()
+        .anyMatch(entry -> needs(machine, entry.getKey(), entry.getValue()));
+  }
+
+  private boolean needs(Machine machine, ExpectedJob expected, double fittingOnAll) {
+    double fitting = fittingTasksOn(machine, expected);
+    return fitting > 0 && fittingOnAll - fitting < expected.tasks() * JOBS_PER_CLASS;
+  }
+
+  /** Stops to count a machine. */
+  void remove(Machine machine) {
+    fittingTasks.replaceAll((expected, sum) -> sum - fittingTasksOn(machine, expected));
+    free.remove(machine);
+  }
+}
--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -1,84 +1,141 @@
 package org.saffronshore.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Collection;
+import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings;
-import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.http.Client;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Response;
 import org.saffronshore.state.RateLimiter;
-import org.saffronshore.wire.Json;
+import org.saffronshore.wire.InvalidFieldException;
+import org.saffronshore.wire.MachineListPage;
+import org.saffronshore.wire.MachineTypeList;
+import org.saffronshore.wire.RentalRequest;
+import org.saffronshore.wire.ReturnRequest;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
-/** The cloud as the controllers use it. A node that does not lead asks for machine types only. */
+/**
+ * Sends requests to the cloud, within this controller's share of the request rate. A controller
+ * that does not lead requests machine types only. Every callback is called exactly once, on the
+ * event loop.
+ */
 public final class CloudClient {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
+
+  /** The cloud takes no more machines back with one request. */
   public static final int MAX_MACHINES_RETURNED = 100;
+
+  /** The cloud rents out no more machines with one request. */
   public static final int MAX_MACHINES_RENTED = 50;
-  public static final int PAGE = 500;
+
+  private static final int PAGE_SIZE = 500;
   private static final double TIMEOUT_S = 5;
+  private static final int TOO_MANY_REQUESTS = 429;
+
+  /** The leader's share of the request rate; followers send few requests and share the rest. */
+  private static final double LEADER_SHARE = 0.8;
 
-  /** Followers ask seldom; the rest of the rate is the leader's. */
-  private static final double SHARE = 0.8;
+  /** So many seconds' worth of requests may be sent at once after a quiet time. */
+  private static final double BURST_S = 2;
 
   private final EventLoop loop;
   private final Client client;
   private final Settings settings;
-  private final RateLimiter budget;
+  private final RateLimiter requestBudget;
 
-  /** Uses the cloud within this node's share of its request rate. */
+  /** Creates a client with a request budget of its own. */
   public CloudClient(EventLoop loop, Client client, Settings settings) {
     this.loop = loop;
     this.client = client;
     this.settings = settings;
-    this.budget = new RateLimiter(loop, settings.cloudRequestsPerS() * SHARE, 2);
+    this.requestBudget =
+        new RateLimiter(loop, settings.cloudRequestsPerS() * LEADER_SHARE, BURST_S);
   }
 
-  private void send(
-      String method, String path, JsonNode body, boolean vital, Response.Callback then) {
-    if (!budget.tryAcquire(1, vital)) {
-      loop.execute(() -> then.onResponse(new Response(429, new byte[0])));
-      return;
+  /**
+   * Requests the machine types.
+   *
+   * @param callback receives an empty result when they could not be had or read
+   */
+  public void listMachineTypes(Consumer<Optional<MachineTypeList>> callback) {
+    send("GET", "/machine_types", null, false, response -> callback.accept(typesIn(response)));
+  }
+
+  private static Optional<MachineTypeList> typesIn(Response response) {
+    if (!response.ok()) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(MachineTypeList.parse(response.body()));
+    } catch (InvalidFieldException e) {
+      LOG.error("Machine types from the cloud cannot be read: reason=\"{}\"", e.getMessage());
+      return Optional.empty();
     }
-    client.send(
-        settings.cloudAddress(),
-        method,
-        path,
-        body == null ? null : Json.bytes(body),
-        TIMEOUT_S,
-        then);
   }
 
-  public void listMachineTypes(Response.Callback then) {
-    send("GET", "/machine_types", null, false, then);
+  /**
+   * Requests one page of the list of machines.
+   *
+   * @param after lists only machines whose ids come after this one; empty for the first page
+   * @param callback receives an empty result when the page could not be had
+   */
+  public void listMachines(String after, Consumer<Optional<MachineListPage>> callback) {
+    String path = "/hosts?" + (after.isEmpty() ? "" : "After=" + after + "&") + "Most=" + PAGE_SIZE;
+    send(
+        "GET",
+        path,
+        null,
+        false,
+        response ->
+            callback.accept(
+                response.ok() ? MachineListPage.parse(response.body()) : Optional.empty()));
   }
 
-  /** Lists machines whose names come after one. */
-  public void listMachines(String after, Consumer<Optional<MachinePage>> then) {
-    String path = "/hosts?" + (after.isEmpty() ? "" : "After=" + after + "&") + "Most=" + PAGE;
-    send("GET", path, null, false, answer -> then.accept(MachinePage.of(answer)));
+  /**
+   * Rents machines. The request's name makes a repetition harmless, and must never be used for
+   * another request.
+   */
+  public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
+    send(
+        "POST",
+        "/hosts",
+        request.toBytes(),
+        true,
+        response -> callback.accept(RentalResult.of(response)));
   }
 
-  /** Rents machines. The name makes a repeat harmless, and must never be used for anything else. */
-  public void rentMachines(String name, MachineKind kind, int count, Consumer<RentalResult> then) {
-    ObjectNode body =
-        Json.object()
-            .put("Hire", name)
-            .put("Rig", kind.type())
-            .put("Depot", kind.zone())
-            .put("Loaner", kind.spot())
-            .put("Count", count);
-    send("POST", "/hosts", body, true, answer -> then.accept(RentalResult.of(answer)));
+  /**
+   * Returns machines.
+   *
+   * @param callback receives whether it succeeded: then they and everything on them are gone
+   */
+  public void returnMachines(List<String> machines, Consumer<Boolean> callback) {
+    send(
+        "POST",
+        "/hosts/return",
+        new ReturnRequest(machines).toBytes(),
+        true,
+        response -> callback.accept(response.ok()));
   }
 
-  /** Returns machines; on success they and everything on them are gone. */
-  public void returnMachines(Collection<String> machines, Consumer<Boolean> then) {
-    ObjectNode body = Json.object();
-    ArrayNode names = body.putArray("Cadres");
-    machines.forEach(names::add);
-    send("POST", "/hosts/return", body, true, answer -> then.accept(answer.ok()));
+  /**
+   * Sends a request, or fails it when the budget is spent.
+   *
+   * @param vital whether the request may use the reserve of the budget
+   */
+  private void send(
+      String method,
+      String path,
+      byte @Nullable [] body,
+      boolean vital,
+      Response.Callback callback) {
+    if (!requestBudget.tryAcquire(1, vital)) {
+      loop.execute(() -> callback.onResponse(new Response(TOO_MANY_REQUESTS, new byte[0])));
+      return;
+    }
+    client.send(settings.cloudAddress(), method, path, body, TIMEOUT_S, callback);
   }
 }
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -1,37 +1,43 @@
 package org.saffronshore.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.saffronshore.http.Response;
-import org.saffronshore.wire.Json;
+import org.saffronshore.wire.RentalResponse;
 
 /**
- * What became of a rental request.
+ * The result of a rental request.
  *
- * @param machines the names of the rented machines, fewer than asked for where the cloud has no
- *     more
+ * @param machines ids of the rented machines, fewer than requested where the cloud has no more;
+ *     empty unless the outcome is RENTED
  */
 public record RentalResult(Outcome outcome, List<String> machines) {
 
-  /** UNKNOWN: it may have been carried out, and has to be repeated under the same name. */
+  /** What the cloud did with the request. */
   public enum Outcome {
     RENTED,
     NO_CAPACITY,
     MALFORMED,
+
+    /** It may have been carried out, and has to be repeated under the same name. */
     UNKNOWN
   }
 
-  static RentalResult of(Response answer) {
-    JsonNode body = answer.json();
-    List<String> machines = new ArrayList<>();
-    if (answer.ok() && body != null) {
-      body.path("Cadres").forEach(name -> machines.add(name.asText()));
-      return new RentalResult(Outcome.RENTED, machines);
+  private static final int BAD_REQUEST = 400;
+  private static final int UNAVAILABLE = 503;
+
+  static RentalResult of(Response response) {
+    Optional<RentalResponse> body = RentalResponse.parse(response.body());
+    if (response.ok() && body.isPresent()) {
+      return new RentalResult(Outcome.RENTED, body.get().machines());
     }
-    if (answer.status() == 503 && body != null && "no capacity".equals(Json.text(body, "error"))) {
-      return new RentalResult(Outcome.NO_CAPACITY, machines);
+    return new RentalResult(failure(response.status(), body), List.of());
+  }
+
+  private static Outcome failure(int status, Optional<RentalResponse> body) {
+    if (status == UNAVAILABLE && body.isPresent() && body.get().noCapacity()) {
+      return Outcome.NO_CAPACITY;
     }
-    return new RentalResult(answer.status() == 400 ? Outcome.MALFORMED : Outcome.UNKNOWN, machines);
+    return status == BAD_REQUEST ? Outcome.MALFORMED : Outcome.UNKNOWN;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -13,6 +13,7 @@
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.MachineType;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
@@ -256,15 +257,8 @@
   }
 
   /** One line of the cloud's list. */
-  public void machineListed(
-      String id,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      boolean failed,
-      double ageS) {
-    machines.machineListed(id, address, type, zone, spot, failed, ageS);
+  public void machineListed(ListedMachine listed) {
+    machines.machineListed(listed);
   }
 
   /** Drops what a complete list of the cloud lacks; see {@link MachineTable#removeUnlisted}. */
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -132,7 +132,7 @@
       }
       room.subtract(a.job);
       if (released) {
-        line.running(a.job, now + cluster.remainingRuntimeS(a, now));
+        line.addRunningTask(a.job, now + cluster.remainingRuntimeS(a, now));
       }
     }
     return line;
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.saffronshore.config.Settings.Address;
-import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.TaskId;
 
 /** A rented machine as the leader knows it. */
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -11,6 +11,7 @@
 import org.saffronshore.config.Settings.Address;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.InvalidFieldException;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -108,36 +109,30 @@
   }
 
   /** One line of the cloud's list. */
-  void machineListed(
-      String id,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      boolean failed,
-      double ageS) {
+  void machineListed(ListedMachine listed) {
+    String id = listed.id();
     if (removedAt.containsKey(id)) {
       return;
     }
     Machine m = machines.get(id);
     if (m == null) {
       m = getOrCreate(id);
-      m.rentedAt = loop.now() - ageS;
+      m.rentedAt = loop.now() - listed.rentedForS();
       LOG.debug(
           "machine {} ({} in {}, spot {}) is in the cloud's list, and was not known",
           id,
-          type,
-          zone,
-          spot);
+          listed.type(),
+          listed.zone(),
+          listed.spot());
     }
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
-    setAddress(m, address);
+    m.type = listed.type();
+    m.zone = listed.zone();
+    m.spot = listed.spot();
+    setAddress(m, listed.address());
     if (unreconciled.contains(m) && !m.up) {
       cluster.commandsDue(m);
     }
-    if (failed && !m.failed) {
+    if (listed.failed() && !m.failed) {
       // A failed machine has stopped of its own accord: nothing on it runs, now or later.
       LOG.debug("machine {} has failed, says the cloud", id);
       m.failed = true;
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -7,6 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.saffronshore.admin.AdminApi;
 import org.saffronshore.admin.Metrics;
+import org.saffronshore.autoscaling.MachineTypeCache;
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.AdmissionQueue;
@@ -74,7 +75,11 @@
     this.leadership = new Leadership(loop, state, settings, random, this, peers);
     this.types =
         new MachineTypeCache(
-            this,
+            loop,
+            settings,
+            cloud,
+            state,
+            leadership,
             now -> {
               if (leader != null) {
                 leader.cluster().machineTypes(now);
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.saffronshore.admin.OperatorSettings;
+import org.saffronshore.autoscaling.Autoscaler;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.CommandBatch;
 import org.saffronshore.cluster.Job;
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -9,102 +9,143 @@
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 
-/** What jobs of each class look like and how often they come, as far as this term has seen. */
+/**
+ * What the jobs of each class look like and how often they arrive, as far as this term has seen.
+ * All times are seconds of the event loop's clock.
+ */
 public final class ArrivalStatistics {
+  private static final double EPSILON = 1e-6;
 
-  private static final class Seen {
-    JobSpec example;
+  /** A class counts as ended when no job of it has arrived for this many of its usual gaps. */
+  private static final double MAX_GAPS = 3;
+
+  /** The jobs of one class. */
+  private static final class JobClass {
+    JobSpec latest;
     int jobs;
     long tasks;
-    double firstAt;
+    final double firstAt;
     double lastAt;
 
-    /** Jobs that came lately. */
-    final ArrayDeque<Recent> recent = new ArrayDeque<>();
+    /** Arrivals within the last two windows, the oldest first. */
+    final ArrayDeque<Arrival> recent = new ArrayDeque<>();
+
+    JobClass(JobSpec first, double now) {
+      this.latest = first;
+      this.firstAt = now;
+    }
+
+    void add(JobSpec job, boolean arrivedNow, double now) {
+      latest = job;
+      jobs++;
+      tasks += job.tasks();
+      lastAt = now;
+      if (arrivedNow) {
+        recent.addLast(new Arrival(now, job.tasks()));
+      }
+    }
+
+    void forgetBefore(double time) {
+      while (!recent.isEmpty() && recent.peekFirst().at < time) {
+        recent.removeFirst();
+      }
+    }
+
+    double meanGapS() {
+      return jobs < 2 ? 0 : (lastAt - firstAt) / (jobs - 1);
+    }
+
+    double meanTasks() {
+      return (double) tasks / jobs;
+    }
   }
 
-  private record Recent(double at, int tasks) {}
+  private record Arrival(double at, int tasks) {}
 
-  /** A typical job of a class that is to find room at once. */
+  /**
+   * A typical job of a class.
+   *
+   * @param task what each of its tasks needs
+   * @param tasks how many tasks it has on average
+   */
   public record ExpectedJob(JobSpec task, double tasks) {}
 
-  private final Map<String, Seen> classes = new HashMap<>();
-  private final double spanS;
+  private final Map<String, JobClass> classes = new HashMap<>();
+  private final double windowS;
 
   /**
-   * @param spanS jobs must come for twice this time before more of their like are expected
+   * Creates empty statistics.
+   *
+   * @param windowS jobs have to arrive for twice this time before more of their class are expected
    */
-  public ArrivalStatistics(double spanS) {
-    this.spanS = spanS;
+  public ArrivalStatistics(double windowS) {
+    this.windowS = windowS;
   }
 
   /**
    * Counts an open job.
    *
-   * @param fresh whether the job came just now, and was not found waiting
+   * @param arrivedNow whether the job was submitted just now, and not found waiting when the term
+   *     began
    */
-  public void jobArrived(JobSpec job, boolean fresh, double now) {
-    Seen seen = classes.computeIfAbsent(job.jobClass(), c -> new Seen());
-    if (seen.jobs == 0) {
-      seen.firstAt = now;
-    }
-    seen.example = job;
-    seen.jobs++;
-    seen.tasks += job.tasks();
-    seen.lastAt = now;
-    if (fresh) {
-      seen.recent.addLast(new Recent(now, job.tasks()));
-    }
+  public void jobArrived(JobSpec job, boolean arrivedNow, double now) {
+    classes.computeIfAbsent(job.jobClass(), c -> new JobClass(job, now)).add(job, arrivedNow, now);
   }
 
   /**
-   * Tasks of each class that are to come within some time, if they come as they did lately. Of the
-   * last two spans the leaner one counts, so that a heap of jobs that come at once is not taken for
-   * a stream of them.
+   * The tasks of each class that will arrive within a time if they arrive as they did recently. The
+   * smaller count of the last two windows is used, so that a burst of jobs does not count as a
+   * steady stream.
    */
-  public List<SchedulingPlan.UnplacedTasks> expectedTasks(double seconds, double now) {
-    List<SchedulingPlan.UnplacedTasks> all = new ArrayList<>();
-    for (Seen s : classes.values()) {
-      while (!s.recent.isEmpty() && s.recent.peekFirst().at < now - 2 * spanS) {
-        s.recent.removeFirst();
-      }
-      int last = 0;
-      int before = 0;
-      for (Recent r : s.recent) {
-        if (r.at >= now - spanS) {
-          last += r.tasks;
+  public List<SchedulingPlan.UnplacedTasks> expectedTasks(double withinS, double now) {
+    List<SchedulingPlan.UnplacedTasks> expected = new ArrayList<>();
+    for (JobClass jobClass : classes.values()) {
+      jobClass.forgetBefore(now - 2 * windowS);
+      int inLastWindow = 0;
+      int inWindowBefore = 0;
+      for (Arrival arrival : jobClass.recent) {
+        if (arrival.at >= now - windowS) {
+          inLastWindow += arrival.tasks;
         } else {
-          before += r.tasks;
+          inWindowBefore += arrival.tasks;
         }
       }
-      int tasks = (int) (Math.min(last, before) / spanS * seconds);
+      int tasks = (int) (Math.min(inLastWindow, inWindowBefore) / windowS * withinS);
       if (tasks > 0) {
-        all.add(new SchedulingPlan.UnplacedTasks(s.example, tasks));
+        expected.add(new SchedulingPlan.UnplacedTasks(jobClass.latest, tasks));
       }
     }
-    return all;
+    return expected;
   }
 
   /**
-   * A typical job of every class that still comes: one that has not stayed away for several of its
-   * usual gaps.
+   * A typical job of every class that still arrives: whose last job is not several of its usual
+   * gaps ago.
+   *
+   * @param minGapS shorter gaps count as this long
    */
   public List<ExpectedJob> expectedJobs(double now, double minGapS) {
-    List<ExpectedJob> all = new ArrayList<>();
-    for (Seen s : classes.values()) {
-      double gap = Math.max(minGapS, s.jobs < 2 ? 0 : (s.lastAt - s.firstAt) / (s.jobs - 1));
-      if (now - s.lastAt < 3 * gap) {
-        all.add(new ExpectedJob(s.example, (double) s.tasks / s.jobs));
+    List<ExpectedJob> expected = new ArrayList<>();
+    for (JobClass jobClass : classes.values()) {
+      if (now - jobClass.lastAt < MAX_GAPS * Math.max(minGapS, jobClass.meanGapS())) {
+        expected.add(new ExpectedJob(jobClass.latest, jobClass.meanTasks()));
       }
     }
-    return all;
+    return expected;
   }
 
-  /** How many tasks like this one fit into some room. */
-  public static double fitting(Resources room, JobSpec task) {
-    double n = task.cpus() > 0 ? Math.floor((room.cpus + 1e-6) / task.cpus()) : JobSpec.MAX_TASKS;
-    n = task.memoryGb() > 0 ? Math.min(n, Math.floor((room.memoryGb + 1e-6) / task.memoryGb())) : n;
-    n = task.gpus() > 0 ? Math.min(n, Math.floor((room.gpus + 1e-6) / task.gpus())) : n;
-    return Math.max(0, n);
+  /** How many tasks like this one fit into what is free. */
+  public static double fittingTasks(Resources free, JobSpec task) {
+    double tasks = JobSpec.MAX_TASKS;
+    if (task.cpus() > 0) {
+      tasks = Math.floor((free.cpus + EPSILON) / task.cpus());
+    }
+    if (task.memoryGb() > 0) {
+      tasks = Math.min(tasks, Math.floor((free.memoryGb + EPSILON) / task.memoryGb()));
+    }
+    if (task.gpus() > 0) {
+      tasks = Math.min(tasks, Math.floor((free.gpus + EPSILON) / task.gpus()));
+    }
+    return Math.max(0, tasks);
   }
 }
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -10,12 +10,13 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * Tasks that are to be found another place: they run on machines of a type that others can do with
- * only, that the cloud has no more of, and that they themselves could do without. Once there is
- * room for their like elsewhere, the ones that come after them go there, and the machines become
+ * Tasks that should get another place: they occupy machines of a scarce type, which the cloud has
+ * no more of and waiting tasks depend on, although they fit other types themselves. Once there is
+ * room for such tasks elsewhere, the next ones are placed there, and the scarce machines become
  * free for those that need them. A pure function.
  */
 public final class DisplacedTasks {
+  private static final double MIN_CPUS = 1e-3;
 
   /** So many tasks of a job run on machines of a type. */
   public record Running(String type, JobSpec job, int tasks) {}
@@ -23,36 +24,46 @@
   private DisplacedTasks() {}
 
   /**
-   * Finds the tasks to be displaced.
+   * Finds the tasks to be displaced, as many as have the CPUs that the waiting tasks need.
    *
    * @param scarce types of which the cloud has no machine left, of any kind
-   * @param late what waits for longer than a machine takes to boot
+   * @param late tasks that will wait for longer than a machine takes to boot
+   * @param running tasks on machines of scarce types
    */
   public static List<SchedulingPlan.UnplacedTasks> find(
       Map<String, MachineType> types,
       Set<String> scarce,
       List<SchedulingPlan.UnplacedTasks> late,
       List<Running> running) {
-    Set<String> needed = new HashSet<>();
-    double cpus = 0;
-    for (SchedulingPlan.UnplacedTasks u : late) {
-      List<String> fits =
-          types.values().stream().filter(t -> t.fits(u.job())).map(MachineType::name).toList();
-      if (scarce.containsAll(fits)) {
-        needed.addAll(fits);
-        cpus += u.job().cpus() * u.tasks();
+    Set<String> neededTypes = new HashSet<>();
+    double neededCpus = 0;
+    for (SchedulingPlan.UnplacedTasks waiting : late) {
+      List<String> fittingTypes =
+          types.values().stream()
+              .filter(type -> type.fits(waiting.job()))
+              .map(MachineType::name)
+              .toList();
+      if (scarce.containsAll(fittingTypes)) {
+        neededTypes.addAll(fittingTypes);
+        neededCpus += waiting.job().cpus() * waiting.tasks();
       }
     }
     List<SchedulingPlan.UnplacedTasks> displaced = new ArrayList<>();
-    for (Running r : running) {
-      boolean elsewhere =
-          types.values().stream().anyMatch(t -> !scarce.contains(t.name()) && t.fits(r.job));
-      if (needed.contains(r.type) && elsewhere && cpus > 0) {
-        int tasks = (int) Math.min(r.tasks, Math.ceil(cpus / Math.max(r.job.cpus(), 1e-3)));
-        displaced.add(new SchedulingPlan.UnplacedTasks(r.job, tasks));
-        cpus -= tasks * r.job.cpus();
+    for (Running group : running) {
+      JobSpec job = group.job;
+      if (neededTypes.contains(group.type) && neededCpus > 0 && fitsOtherType(job, types, scarce)) {
+        double tasksForNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS));
+        int tasks = (int) Math.min(group.tasks, tasksForNeed);
+        displaced.add(new SchedulingPlan.UnplacedTasks(job, tasks));
+        neededCpus -= tasks * job.cpus();
       }
     }
     return displaced;
   }
+
+  private static boolean fitsOtherType(
+      JobSpec job, Map<String, MachineType> types, Set<String> scarce) {
+    return types.values().stream()
+        .anyMatch(type -> !scarce.contains(type.name()) && type.fits(job));
+  }
 }
--- a/src/main/java/org/saffronshore/fleet/Forecast.java
+++ b/src/main/java/org/saffronshore/fleet/Forecast.java
@@ -8,108 +8,122 @@
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineKind;
 
 /**
- * Foretells when waiting tasks would start on the machines that there are, so that nothing is
- * rented for those that a new machine would not start sooner. A pure function.
+ * Forecasts when waiting tasks would start on the machines that there are, so that nothing is
+ * rented for tasks that a new machine would not start sooner. A pure function; all times are
+ * seconds of the event loop's clock.
  */
 public final class Forecast {
 
-  /** A task that leaves its room at a time. */
+  /** A running task that releases its resources when it is expected to end. */
   private record Release(double at, JobSpec job) {}
 
-  /** A machine, with what is free on it now or when it is up, and what becomes free later. */
+  /** A machine, with what is free on it now or when it is up, and what is released later. */
   public static final class MachineTimeline {
+    private static final int TYPICAL_RELEASES = 4;
+
     private final MachineKind kind;
-    private final Resources room;
-    private double openAt;
+    private final Resources free;
+    private double freeFrom;
 
-    /** The earliest last, so that it is taken off the end. */
-    private final ArrayList<Release> releases = new ArrayList<>(4);
+    /** Sorted by time, the earliest last, so that it is taken off the end. */
+    private final ArrayList<Release> releases = new ArrayList<>(TYPICAL_RELEASES);
 
     /** A machine with this much free from a moment on. */
-    public MachineTimeline(MachineKind kind, Resources room, double openAt) {
+    public MachineTimeline(MachineKind kind, Resources free, double freeFrom) {
       this.kind = kind;
-      this.room = room;
-      this.openAt = openAt;
+      this.free = free;
+      this.freeFrom = freeFrom;
     }
 
     public MachineKind kind() {
       return kind;
     }
 
-    /** A task that is there already and is expected to end at a time. */
-    public void running(JobSpec job, double until) {
-      int i = releases.size();
-      while (i > 0 && releases.get(i - 1).at <= until) {
-        i--;
+    /** Adds a task whose resources are in use until it is expected to end. */
+    public void addRunningTask(JobSpec job, double endsAt) {
+      int index = releases.size();
+      while (index > 0 && releases.get(index - 1).at <= endsAt) {
+        index--;
       }
-      releases.add(i, new Release(until, job));
+      releases.add(index, new Release(endsAt, job));
     }
 
-    /** When it has room for the job, or infinity when that is after the limit. */
+    /** When a task of the job could start, or infinity when that is after the limit. */
     private double startOf(JobSpec job, double limit) {
-      if (room.fits(job)) {
-        return openAt;
+      if (free.fits(job)) {
+        return freeFrom;
       }
-      double cpus = room.cpus;
-      double gpus = room.gpus;
-      double memoryGb = room.memoryGb;
+      double cpus = free.cpus;
+      double gpus = free.gpus;
+      double memoryGb = free.memoryGb;
       for (int i = releases.size() - 1; i >= 0; i--) {
-        Release r = releases.get(i);
-        if (r.at > limit) {
+        Release release = releases.get(i);
+        if (release.at > limit) {
           break;
         }
-        cpus += r.job.cpus();
-        gpus += r.job.gpus();
-        memoryGb += r.job.memoryGb();
+        cpus += release.job.cpus();
+        gpus += release.job.gpus();
+        memoryGb += release.job.memoryGb();
         if (Resources.fits(job, cpus, gpus, memoryGb)) {
-          return Math.max(openAt, r.at);
+          return Math.max(freeFrom, release.at);
         }
       }
       return Double.POSITIVE_INFINITY;
     }
 
-    private void put(JobSpec job, double start, double lasts) {
-      while (!room.fits(job) && !releases.isEmpty()) {
-        room.add(releases.remove(releases.size() - 1).job);
+    /** Starts a task at a moment that {@link #startOf} has given. */
+    private void place(JobSpec job, double start, double runtimeS) {
+      while (!free.fits(job) && !releases.isEmpty()) {
+        free.add(releases.remove(releases.size() - 1).job);
       }
-      openAt = Math.max(openAt, start);
-      room.subtract(job);
-      running(job, start + lasts);
+      freeFrom = Math.max(freeFrom, start);
+      free.subtract(job);
+      addRunningTask(job, start + runtimeS);
     }
   }
 
-  /** A line, by its place among all, and when it could take the next task of a job. */
-  private record Start(double at, int line) {
+  /** When a machine, given by its index, could start the next task of a job. */
+  private record Start(double at, int machine) {
     static final Comparator<Start> ORDER =
-        Comparator.comparingDouble(Start::at).thenComparingInt(Start::line);
+        Comparator.comparingDouble(Start::at).thenComparingInt(Start::machine);
   }
 
-  /** What no line takes in time: lines only fill up, so what asks for no less need not be tried. */
-  private record Failure(JobSpec job, double limit) {}
+  /**
+   * A job of which some task cannot start in time on any machine. Machines only fill up during a
+   * forecast, so jobs that require at least as much need not be tried.
+   */
+  private record Failure(JobSpec job, double latestStart) {
+    boolean implies(JobSpec other, double otherLatestStart) {
+      return otherLatestStart <= latestStart && other.requiresAtLeast(job);
+    }
+  }
 
   private Forecast() {}
 
   /**
-   * The tasks that would start later than a machine rented now could take them.
+   * The tasks that would start too late. The timelines are changed.
    *
-   * @param lasts how long a task is expected to take
-   * @param helpAt when a machine rented now for a task would be up
+   * @param queue in the order in which the tasks are placed
+   * @param runtimeS how many seconds a task of a job is expected to run
+   * @param latestStart the latest acceptable start of a job's tasks, such as the moment at which a
+   *     machine rented now would be up
    */
-  public static List<SchedulingPlan.UnplacedTasks> late(
-      List<MachineTimeline> lines,
+  public static List<SchedulingPlan.UnplacedTasks> lateTasks(
+      List<MachineTimeline> timelines,
       List<SchedulingPlan.UnplacedTasks> queue,
-      ToDoubleFunction<JobSpec> lasts,
-      ToDoubleFunction<JobSpec> helpAt) {
+      ToDoubleFunction<JobSpec> runtimeS,
+      ToDoubleFunction<JobSpec> latestStart) {
     List<SchedulingPlan.UnplacedTasks> late = new ArrayList<>();
     List<Failure> failures = new ArrayList<>();
-    for (SchedulingPlan.UnplacedTasks u : queue) {
-      JobSpec job = u.job();
-      double limit = helpAt.applyAsDouble(job);
-      int left = u.tasks();
-      if (failures.stream().noneMatch(f -> limit <= f.limit && job.requiresAtLeast(f.job))) {
-        left = put(lines, job, left, limit, lasts.applyAsDouble(job));
+    for (SchedulingPlan.UnplacedTasks waiting : queue) {
+      JobSpec job = waiting.job();
+      double limit = latestStart.applyAsDouble(job);
+      int left = waiting.tasks();
+      if (failures.stream().noneMatch(failure -> failure.implies(job, limit))) {
+        left = place(timelines, job, left, limit, runtimeS.applyAsDouble(job));
         if (left > 0) {
           failures.add(new Failure(job, limit));
         }
@@ -121,34 +135,34 @@
     return late;
   }
 
-  /** Puts tasks of a job on the lines that take them first; how many found none in time. */
-  private static int put(
-      List<MachineTimeline> lines, JobSpec job, int tasks, double limit, double lasts) {
+  /** Places tasks of a job where they start first; returns how many cannot start in time. */
+  private static int place(
+      List<MachineTimeline> timelines, JobSpec job, int tasks, double limit, double runtimeS) {
     PriorityQueue<Start> starts = new PriorityQueue<>(Start.ORDER);
-    for (int i = 0; i < lines.size(); i++) {
-      if (lines.get(i).kind.allows(job)) {
-        offer(starts, lines, i, job, limit);
+    for (int i = 0; i < timelines.size(); i++) {
+      if (timelines.get(i).kind.allows(job)) {
+        addStart(starts, timelines, i, job, limit);
       }
     }
     int left = tasks;
     while (left > 0 && !starts.isEmpty()) {
-      Start best = starts.poll();
-      lines.get(best.line).put(job, best.at, lasts);
-      offer(starts, lines, best.line, job, limit);
+      Start first = starts.poll();
+      timelines.get(first.machine).place(job, first.at, runtimeS);
+      addStart(starts, timelines, first.machine, job, limit);
       left--;
     }
     return left;
   }
 
-  private static void offer(
+  private static void addStart(
       PriorityQueue<Start> starts,
-      List<MachineTimeline> lines,
-      int line,
+      List<MachineTimeline> timelines,
+      int machine,
       JobSpec job,
       double limit) {
-    double at = lines.get(line).startOf(job, limit);
+    double at = timelines.get(machine).startOf(job, limit);
     if (at <= limit) {
-      starts.add(new Start(at, line));
+      starts.add(new Start(at, machine));
     }
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.TaskId;
 
 /**
--- a/src/main/java/org/saffronshore/fleet/MachineKind.java
+++ b/src/main/java/org/saffronshore/wire/MachineKind.java
@@ -1,8 +1,6 @@
-package org.saffronshore.fleet;
+package org.saffronshore.wire;
 
-import org.saffronshore.wire.JobSpec;
-
-/** What a rental request names: a machine type, a zone, and whether it may be taken back. */
+/** What a rental request names: a machine type, a zone, and whether it is a spot machine. */
 public record MachineKind(String type, String zone, boolean spot) {
   /** Whether the job may use machines of this kind. */
   public boolean allows(JobSpec job) {
@@ -13,6 +11,6 @@
 
   @Override
   public String toString() {
-    return (spot ? "spot " : "ordinary ") + type + " in " + zone;
+    return (spot ? "spot " : "on-demand ") + type + " in " + zone;
   }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/wire/MachineListPage.java
@@ -0,0 +1,27 @@
+package org.saffronshore.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * One page of the cloud's list of machines, in the order of their ids.
+ *
+ * @param isLast whether the list ends with this page
+ */
+public record MachineListPage(List<ListedMachine> machines, boolean isLast) {
+
+  /** Reads the body of the cloud's response; empty when it holds no list. */
+  public static Optional<MachineListPage> parse(byte[] body) {
+    JsonNode tree = Json.parse(body);
+    if (tree == null || !tree.path("Cadres").isArray()) {
+      return Optional.empty();
+    }
+    List<ListedMachine> machines = new ArrayList<>();
+    for (JsonNode entry : tree.get("Cadres")) {
+      ListedMachine.parse(entry).ifPresent(machines::add);
+    }
+    return Optional.of(new MachineListPage(machines, !Json.bool(tree, "Truncated")));
+  }
+}
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -18,6 +18,7 @@
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 
 /**
@@ -117,7 +118,7 @@
     job(101);
     Machine m = up("host-1");
     launch(m);
-    cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, true, 50);
+    cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, true, 50));
     assertTrue(placeable());
     assertFalse(m.isSchedulable(loop.now()));
   }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -16,6 +16,7 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
@@ -30,7 +31,8 @@
   @CsvSource({"0.5, false", "1.1, true"})
   void aSessionFoundByACallHasAWholeLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
+    cluster.machineListed(
+        new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     Machine m = cluster.machine("host-1");
     cluster.batchCompleted(cluster.nextBatch(m), true, false, report("host-1", 1, ++seq, TERM));
     cluster.registry().markRegistered(List.of(m));
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -13,6 +13,7 @@
 import org.saffronshore.scheduling.QuotaUsage;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
@@ -32,7 +33,7 @@
       }
     }
     cluster.addRegistered(id, 0, held);
-    cluster.machineListed(id, null, "big", "a", true, false, 90);
+    cluster.machineListed(new ListedMachine(id, null, "big", "a", true, false, 90));
   }
 
   private QuotaUsage.Amounts counted() {
--- a/src/test/java/org/saffronshore/cluster/TakeoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/TakeoverTest.java
@@ -22,6 +22,7 @@
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
@@ -56,7 +57,8 @@
     job(1);
     Machine m = cluster.machine("host-1");
     assertNull(cluster.nextBatch(m), "nobody knows where it is");
-    cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
+    cluster.machineListed(
+        new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     assertEquals(m, cluster.nextMachineWithCommands());
     CommandBatch guess = cluster.nextBatch(m);
     assertEquals(1, guess.epoch());
@@ -220,7 +222,7 @@
   @CsvSource({"unseen, 0", "written down, 0", "of an open job, 1", "shown, 0", "gone, 1"})
   void countsWhatMayRunOfCancelledJobs(String what, int placed) {
     Machine m = up("host-1");
-    cluster.machineListed("host-2", null, "big", "a", true, false, 90);
+    cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
     if (what.equals("unseen")) {
       cluster.addRegistered("host-2", 0, null);
     } else if (what.equals("shown")) {
@@ -240,7 +242,7 @@
             "huge",
             new org.saffronshore.wire.MachineType(
                 "huge", 64, 0, 256, 50, 1, 2, 1, 40, List.of("a"))));
-    cluster.machineListed("host-3", null, "huge", "a", true, false, 90);
+    cluster.machineListed(new ListedMachine("host-3", null, "huge", "a", true, false, 90));
     Machine huge =
         cluster.heartbeatReceived(
             new Heartbeat(
@@ -260,8 +262,8 @@
   void countsWhatIsCancelledDuringTheTakeoverBesideWhatIsNot(String accountedFor, int placed) {
     cluster.addRegistered("host-1", 0, Set.of(new TaskId("wk-1", 0)));
     cluster.addRegistered("host-2", 0, Set.of(new TaskId("wk-2", 0)));
-    cluster.machineListed("host-1", null, "big", "a", true, false, 90);
-    cluster.machineListed("host-2", null, "big", "a", true, false, 90);
+    cluster.machineListed(new ListedMachine("host-1", null, "big", "a", true, false, 90));
+    cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
     for (String id : List.of("wk-1", "wk-2")) {
       cluster.addJob(TestData.job(id, "red", Priority.STANDARD, 1, 30), 1, 0, new BitSet(), 1);
     }
--- /dev/null
+++ b/src/test/java/org/saffronshore/fleet/FleetTestData.java
@@ -0,0 +1,42 @@
+package org.saffronshore.fleet;
+
+import java.util.List;
+import java.util.Map;
+import org.jspecify.annotations.Nullable;
+import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineType;
+import org.saffronshore.wire.Priority;
+
+/** Machine types and jobs that the tests of this package have in common. */
+final class FleetTestData {
+  static final Map<String, MachineType> TYPES =
+      Map.of(
+          "small", new MachineType("small", 4, 0, 64, 50, 1, 0.32, 0.13, 40, List.of("a", "b")),
+          "large", new MachineType("large", 16, 0, 64, 50, 1, 0.95, 0.37, 40, List.of("a")));
+
+  private FleetTestData() {}
+
+  /** A job of a hundred tasks that is confined to a zone, unless that is null. */
+  static JobSpec job(double cpus, boolean spot, @Nullable String zone) {
+    return new JobSpec(
+        "wk-1",
+        "class",
+        "red",
+        Priority.URGENT,
+        100,
+        cpus,
+        0,
+        1,
+        "image",
+        1,
+        null,
+        zone,
+        false,
+        false,
+        spot,
+        30,
+        0,
+        0,
+        100);
+  }
+}
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.saffronshore.TestData;
 import org.saffronshore.config.Settings;
-import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
