--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -21,6 +21,30 @@
   /** So many tasks of a job run on machines of a type. */
   public record Running(String type, JobSpec job, int tasks) {}
 
+  /** The scarce types that waiting tasks depend on, and how many CPUs those tasks need. */
+  private record Shortage(Set<String> types, double cpus) {
+
+    static Shortage of(
+        Map<String, MachineType> types,
+        Set<String> scarce,
+        List<SchedulingPlan.UnplacedTasks> late) {
+      Set<String> neededTypes = new HashSet<>();
+      double neededCpus = 0;
+      for (SchedulingPlan.UnplacedTasks waiting : late) {
+        List<String> fittingTypes =
+            types.values().stream()
+                .filter(type -> type.fits(waiting.job()))
+                .map(MachineType::name)
+                .toList();
+        if (scarce.containsAll(fittingTypes)) {
+          neededTypes.addAll(fittingTypes);
+          neededCpus += waiting.job().cpus() * waiting.tasks();
+        }
+      }
+      return new Shortage(neededTypes, neededCpus);
+    }
+  }
+
   private DisplacedTasks() {}
 
   /**
@@ -35,23 +59,14 @@
       Set<String> scarce,
       List<SchedulingPlan.UnplacedTasks> late,
       List<Running> running) {
-    Set<String> neededTypes = new HashSet<>();
-    double neededCpus = 0;
-    for (SchedulingPlan.UnplacedTasks waiting : late) {
-      List<String> fittingTypes =
-          types.values().stream()
-              .filter(type -> type.fits(waiting.job()))
-              .map(MachineType::name)
-              .toList();
-      if (scarce.containsAll(fittingTypes)) {
-        neededTypes.addAll(fittingTypes);
-        neededCpus += waiting.job().cpus() * waiting.tasks();
-      }
-    }
+    Shortage shortage = Shortage.of(types, scarce, late);
+    double neededCpus = shortage.cpus;
     List<SchedulingPlan.UnplacedTasks> displaced = new ArrayList<>();
     for (Running group : running) {
       JobSpec job = group.job;
-      if (neededTypes.contains(group.type) && neededCpus > 0 && fitsOtherType(job, types, scarce)) {
+      if (shortage.types.contains(group.type)
+          && neededCpus > 0
+          && fitsOtherType(job, types, scarce)) {
         double tasksForNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS));
         int tasks = (int) Math.min(group.tasks, tasksForNeed);
         displaced.add(new SchedulingPlan.UnplacedTasks(job, tasks));
--- /dev/null
+++ b/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
@@ -0,0 +1,74 @@
+package org.saffronshore.autoscaling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.saffronshore.ManualEventLoop;
+import org.saffronshore.TestData;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.wire.MachineKind;
+
+/** Machines of the type in {@link TestData#TYPES} boot for 40 s. */
+class CapacityBackoffTest {
+  private static final MachineKind KIND = new MachineKind("big", "a", true);
+  private static final MachineKind OTHER_ZONE = new MachineKind("big", "b", true);
+
+  private final ManualEventLoop loop = new ManualEventLoop();
+  private final Cluster cluster = new Cluster(loop, TestData.settings(), 1, 1);
+  private final CapacityBackoff backoff =
+      new CapacityBackoff(loop, new BootTimes(TestData.settings(), cluster));
+
+  @BeforeEach
+  void knowTypes() {
+    cluster.machineTypes(TestData.TYPES);
+  }
+
+  private double backoffAfterRefusalS() {
+    backoff.onRefused(KIND);
+    double seconds = 0;
+    while (!backoff.mayRequest(KIND, loop.now())) {
+      loop.pass(1);
+      seconds++;
+    }
+    return seconds;
+  }
+
+  @Test
+  void kindThatWasNeverRefusedMayBeRequested() {
+    assertTrue(backoff.mayRequest(KIND, loop.now()));
+    assertFalse(backoff.wasRefused(KIND));
+  }
+
+  @Test
+  void backoffDoublesFromAnEighthOfTheBootTimeUpToTheBootTime() {
+    for (double expectedS : new double[] {5, 10, 20, 40, 40}) {
+      assertEquals(expectedS, backoffAfterRefusalS());
+    }
+  }
+
+  @Test
+  void kindCountsAsRefusedAlsoAfterItsBackoff() {
+    backoffAfterRefusalS();
+    assertTrue(backoff.wasRefused(KIND));
+  }
+
+  @Test
+  void refusalDoesNotConcernOtherKinds() {
+    backoff.onRefused(KIND);
+    assertTrue(backoff.mayRequest(OTHER_ZONE, loop.now()));
+    assertFalse(backoff.wasRefused(OTHER_ZONE));
+  }
+
+  @Test
+  void backoffStartsAnewWhenTheCloudHasMachinesOfTheKindAgain() {
+    backoffAfterRefusalS();
+    backoff.onRefused(KIND);
+    backoff.onAvailable(KIND);
+    assertTrue(backoff.mayRequest(KIND, loop.now()));
+    assertFalse(backoff.wasRefused(KIND));
+    assertEquals(5, backoffAfterRefusalS());
+  }
+}
