--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.saffronshore.config.Address;
-import org.saffronshore.fleet.MachineKind;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
--- a/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.saffronshore.config.Settings;
-import org.saffronshore.fleet.MachineKind;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.TaskId;
 
