--- /dev/null
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -0,0 +1,116 @@
+package org.saffronshore.control;
+
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.CommandBatch;
+import org.saffronshore.cluster.Machine;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.Client;
+import org.saffronshore.http.Response;
+import org.saffronshore.leadership.LeaderTerm;
+import org.saffronshore.wire.CommandMessage;
+import org.saffronshore.wire.CommandResponse;
+import org.saffronshore.wire.Heartbeat;
+import org.saffronshore.wire.InvalidFieldException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Sends direct commands to workers, a limited number at a time, and takes their responses. */
+final class CommandSender {
+  private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
+  private static final String COMMAND_PATH = "/do";
+
+  /** A burst of launches must not use up the connections. */
+  private static final int SOCKETS_PER_COMMAND_IN_FLIGHT = 8;
+
+  private static final int MIN_COMMANDS_IN_FLIGHT = 4;
+
+  private final Client client;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final Runnable dueWork;
+  private final int maxInFlight;
+  private final double commandTimeoutS;
+  private final double probeTimeoutS;
+  private int inFlight;
+
+  /**
+   * Creates the sender of one term.
+   *
+   * @param dueWork is run after a response
+   */
+  CommandSender(
+      Settings settings, Client client, LeaderTerm term, Cluster cluster, Runnable dueWork) {
+    this.client = client;
+    this.term = term;
+    this.cluster = cluster;
+    this.dueWork = dueWork;
+    this.maxInFlight =
+        Math.max(MIN_COMMANDS_IN_FLIGHT, settings.maxSockets() / SOCKETS_PER_COMMAND_IN_FLIGHT);
+    this.commandTimeoutS = settings.heartbeatIntervalS() * 4 / 3;
+    this.probeTimeoutS = settings.heartbeatIntervalS() / 3;
+  }
+
+  /** Sends what is due, as far as the number in flight allows. */
+  void sendDue() {
+    // Checked before each batch: a process that was paused a moment ago may not act any more.
+    while (inFlight < maxInFlight && term.isActive()) {
+      Machine machine = cluster.nextMachineWithCommands();
+      if (machine == null) {
+        return;
+      }
+      CommandBatch batch = cluster.nextBatch(machine);
+      if (batch != null) {
+        inFlight++;
+        send(batch);
+      }
+    }
+  }
+
+  private void send(CommandBatch batch) {
+    LOG.debug(
+        "Sending commands: machine={} commands={} term={} epoch={}",
+        batch.machine().id(),
+        batch.commands(),
+        term.number(),
+        batch.epoch());
+    // A probe, which holds no command, must not stand in the way of launches when many machines do
+    // not respond.
+    client.send(
+        batch.machine().address(),
+        "POST",
+        COMMAND_PATH,
+        new CommandMessage(term.number(), batch.commands()).toDirectCommand(batch.epoch()),
+        batch.commands().isEmpty() ? probeTimeoutS : commandTimeoutS,
+        response -> completed(batch, response));
+  }
+
+  private void completed(CommandBatch batch, Response response) {
+    inFlight--;
+    CommandResponse result = parse(batch, response);
+    if (term.hasEnded()) {
+      return;
+    }
+    Heartbeat heartbeat = result.heartbeat();
+    if (heartbeat != null
+        && term.stepDownIfSuperseded(heartbeat.machine(), heartbeat.fencingToken())) {
+      return;
+    }
+    boolean surelyNotExecuted =
+        response.equals(Response.NOT_SENT) || result.outcome() == CommandResponse.Outcome.REJECTED;
+    cluster.batchCompleted(
+        batch, result.outcome() == CommandResponse.Outcome.EXECUTED, surelyNotExecuted, heartbeat);
+    dueWork.run();
+  }
+
+  private static CommandResponse parse(CommandBatch batch, Response response) {
+    try {
+      return CommandResponse.parse(response.status(), response.body());
+    } catch (InvalidFieldException e) {
+      LOG.warn(
+          "Response to commands holds no heartbeat: machine={} reason={}",
+          batch.machine().id(),
+          e.getMessage());
+      return CommandResponse.UNKNOWN;
+    }
+  }
+}
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -364,7 +364,22 @@
   public void onElected(long term, long keyVersion) {
     metrics.increment(Metrics.Counter.TERMS, 1);
     state.setLeading(true);
-    leader = new Leader(this, term, keyVersion);
+    leader =
+        new Leader(
+            new LeaderServices(
+                loop,
+                settings,
+                random,
+                client,
+                state,
+                store,
+                cloud,
+                leadership,
+                peers,
+                metrics,
+                teamMetrics),
+            term,
+            keyVersion);
     leader.cluster().machineTypes(types.machineTypes());
     leader.start();
     types.persist();
--- /dev/null
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -0,0 +1,25 @@
+package org.saffronshore.control;
+
+import java.util.random.RandomGenerator;
+import org.saffronshore.admin.Metrics;
+import org.saffronshore.cloud.CloudClient;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.Client;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.Leadership;
+import org.saffronshore.state.JobStore;
+import org.saffronshore.state.StateClient;
+
+/** What a controller lends each of its terms as leader; all of it outlives the term. */
+record LeaderServices(
+    EventLoop loop,
+    Settings settings,
+    RandomGenerator random,
+    Client client,
+    StateClient state,
+    JobStore store,
+    CloudClient cloud,
+    Leadership leadership,
+    PeerLink peers,
+    Metrics metrics,
+    QuotaMetrics quotaMetrics) {}
--- a/src/main/java/org/saffronshore/control/QuotaMetrics.java
+++ b/src/main/java/org/saffronshore/control/QuotaMetrics.java
@@ -3,6 +3,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.scheduling.QuotaUsage;
@@ -10,70 +11,79 @@
 import org.saffronshore.scheduling.Team;
 
 /**
- * What counts against each team's limit, and what the limits hold back, as metrics: of the last
- * cycle of this controller, and nothing while it does not lead.
+ * Metrics of what counts against each team's quota, and of cycles in which a quota limited tasks:
+ * of the last cycle of this controller, and nothing while it does not lead.
  */
 final class QuotaMetrics {
-  private final Map<String, QuotaUsage> latest = new HashMap<>();
-  private final Map<String, HeldBack> heldBack = new HashMap<>();
+  private static final String LIMITED_CYCLES = "cycles_held_back_by_limit";
 
-  /** Cycles in which the limit held back a team's tasks, by whether all machines were known. */
-  private static final class HeldBack {
+  private final Map<String, QuotaUsage> latestUsage = new HashMap<>();
+  private final Map<String, LimitedCycles> limitedCycles = new HashMap<>();
+
+  /** Cycles in which a team's quota limited its tasks, by what used it up. */
+  private static final class LimitedCycles {
+    /** What is surely on machines was enough for that. */
     long byKnown;
-    long byUnaccounted;
+
+    /** Only with what unreconciled machines may hold. */
+    long byUnreconciled;
   }
 
+  /** Registers the metrics of all teams. */
   QuotaMetrics(Metrics metrics, Collection<String> teams) {
     for (String team : teams) {
-      gauge(metrics, team, "running", QuotaUsage.Amounts::running);
-      gauge(metrics, team, "launched", QuotaUsage.Amounts::launched);
-      gauge(metrics, team, "possible", QuotaUsage.Amounts::possible);
-      gauge(metrics, team, "possibly_held", QuotaUsage.Amounts::possiblyHeld);
-      gauge(metrics, team, "limit", QuotaUsage.Amounts::limit);
-      HeldBack counts = new HeldBack();
-      heldBack.put(team, counts);
-      String name = "cycles_held_back_by_limit";
-      metrics.counter(name, () -> counts.byKnown, "team", team, "by", "known");
-      metrics.counter(name, () -> counts.byUnaccounted, "team", team, "by", "unaccounted");
+      registerGauges(metrics, team, "running", QuotaUsage.Amounts::running);
+      registerGauges(metrics, team, "launched", QuotaUsage.Amounts::launched);
+      registerGauges(metrics, team, "possible", QuotaUsage.Amounts::possible);
+      registerGauges(metrics, team, "possibly_held", QuotaUsage.Amounts::possiblyHeld);
+      registerGauges(metrics, team, "limit", QuotaUsage.Amounts::limit);
+      LimitedCycles cycles = new LimitedCycles();
+      limitedCycles.put(team, cycles);
+      metrics.counter(LIMITED_CYCLES, () -> cycles.byKnown, "team", team, "by", "known");
+      metrics.counter(
+          LIMITED_CYCLES, () -> cycles.byUnreconciled, "team", team, "by", "unaccounted");
     }
   }
 
-  private void gauge(
+  private void registerGauges(
       Metrics metrics, String team, String kind, ToDoubleFunction<QuotaUsage.Amounts> amount) {
-    metrics.gauge("team_cpus", () -> cpus(team, amount), "team", team, "kind", kind);
-    metrics.gauge("team_gpus", () -> gpus(team, amount), "team", team, "kind", kind);
+    metrics.gauge(
+        "team_cpus", () -> amount(team, QuotaUsage::cpus, amount), "team", team, "kind", kind);
+    metrics.gauge(
+        "team_gpus", () -> amount(team, QuotaUsage::gpus, amount), "team", team, "kind", kind);
   }
 
-  private double cpus(String team, ToDoubleFunction<QuotaUsage.Amounts> amount) {
-    QuotaUsage use = latest.get(team);
-    return use == null ? 0 : amount.applyAsDouble(use.cpus());
+  private double amount(
+      String team,
+      Function<QuotaUsage, QuotaUsage.Amounts> resource,
+      ToDoubleFunction<QuotaUsage.Amounts> amount) {
+    QuotaUsage usage = latestUsage.get(team);
+    return usage == null ? 0 : amount.applyAsDouble(resource.apply(usage));
   }
 
-  private double gpus(String team, ToDoubleFunction<QuotaUsage.Amounts> amount) {
-    QuotaUsage use = latest.get(team);
-    return use == null ? 0 : amount.applyAsDouble(use.gpus());
+  /** A cycle has ended: takes what counts now, with what the cycle placed. */
+  void cycleCompleted(
+      Collection<Team> teams, Collection<SchedulingPlan.QuotaLimitedTasks> limitedTasks) {
+    teams.forEach(team -> latestUsage.put(team.use().team(), team.use()));
+    Map<String, Boolean> onlyByUnreconciled = new HashMap<>();
+    limitedTasks.forEach(
+        limited ->
+            onlyByUnreconciled.merge(
+                limited.job().team(), limited.onlyByUnreconciled(), Boolean::logicalAnd));
+    onlyByUnreconciled.forEach(this::countLimitedCycle);
   }
 
-  /** A cycle has ended: what counts now, with what it placed. */
-  void cycleCompleted(
-      Collection<Team> teams, Collection<SchedulingPlan.QuotaLimitedTasks> limited) {
-    teams.forEach(team -> latest.put(team.use().team(), team.use()));
-    Map<String, Boolean> byUnaccounted = new HashMap<>();
-    limited.forEach(
-        l -> byUnaccounted.merge(l.job().team(), l.onlyByUnreconciled(), Boolean::logicalAnd));
-    byUnaccounted.forEach(
-        (team, unaccounted) -> {
-          HeldBack counts = heldBack.get(team);
-          if (unaccounted) {
-            counts.byUnaccounted++;
-          } else {
-            counts.byKnown++;
-          }
-        });
+  private void countLimitedCycle(String team, boolean onlyByUnreconciled) {
+    LimitedCycles cycles = limitedCycles.get(team);
+    if (onlyByUnreconciled) {
+      cycles.byUnreconciled++;
+    } else {
+      cycles.byKnown++;
+    }
   }
 
   /** This controller does not lead any more. */
   void clear() {
-    latest.clear();
+    latestUsage.clear();
   }
 }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -3,6 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.admin.OperatorSettings;
@@ -21,29 +23,65 @@
 final class SchedulingLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-  /** Cycles that follow a change may take this share of the time: the rest is for reports. */
-  private static final double CYCLE_SHARE = 0.15;
+  /** Cycles that follow a change may take this share of the time: the rest is for heartbeats. */
+  private static final double MAX_CYCLE_SHARE = 0.15;
 
   private final EventLoop loop;
-  private final Settings settings;
-  private final Metrics metrics;
-  private final QuotaMetrics teamMetrics;
   private final RandomGenerator random;
-  private final Leader leader;
+  private final Metrics metrics;
+  private final QuotaMetrics quotaMetrics;
   private final LeaderTerm term;
   private final Cluster cluster;
+  private final Supplier<OperatorSettings> operatorSettings;
+  private final Consumer<SchedulingPlan> onCycleCompleted;
+  private final double minRequestDelayS;
   private boolean cycleRequested;
   private double lastCycleS;
 
-  SchedulingLoop(Controller node, Leader leader, Cluster cluster) {
-    this.loop = node.loop();
-    this.settings = node.settings();
-    this.metrics = node.metrics();
-    this.teamMetrics = node.teamMetrics();
-    this.random = node.random();
-    this.leader = leader;
-    this.term = leader.term();
+  /**
+   * Creates the loop of one term.
+   *
+   * @param operatorSettings the settings in force
+   * @param onCycleCompleted receives the plan of each cycle, after the cluster has taken it
+   */
+  SchedulingLoop(
+      EventLoop loop,
+      Settings settings,
+      RandomGenerator random,
+      Metrics metrics,
+      QuotaMetrics quotaMetrics,
+      LeaderTerm term,
+      Cluster cluster,
+      Supplier<OperatorSettings> operatorSettings,
+      Consumer<SchedulingPlan> onCycleCompleted) {
+    this.loop = loop;
+    this.random = random;
+    this.metrics = metrics;
+    this.quotaMetrics = quotaMetrics;
+    this.term = term;
     this.cluster = cluster;
+    this.operatorSettings = operatorSettings;
+    this.onCycleCompleted = onCycleCompleted;
+    this.minRequestDelayS = settings.heartbeatIntervalS() / 100;
+  }
+
+  /** Runs a full cycle once in a period for as long as the term lasts. */
+  void start() {
+    loop.schedule(
+        operatorSettings.get().scheduling().periodS(),
+        () -> {
+          if (term.hasEnded()) {
+            return;
+          }
+          try {
+            runCycle(true);
+            if (term.isActive() && term.isLoaded()) {
+              LOG.info("Cluster state: term={} {}", term.number(), cluster.view().summary());
+            }
+          } finally {
+            start();
+          }
+        });
   }
 
   /** Something has changed: a cycle follows soon, one for all changes until then. */
@@ -51,7 +89,7 @@
     if (!cycleRequested) {
       cycleRequested = true;
       loop.schedule(
-          Math.max(settings.heartbeatIntervalS() / 100, lastCycleS / CYCLE_SHARE),
+          Math.max(minRequestDelayS, lastCycleS / MAX_CYCLE_SHARE),
           () -> {
             cycleRequested = false;
             runCycle(false);
@@ -62,16 +100,16 @@
   /**
    * Decides what starts and what stops, as far as this controller may act now.
    *
-   * @param evict whether tasks that run are reconsidered too
+   * @param evict whether running tasks compete for their places again
    */
-  void runCycle(boolean evict) {
+  private void runCycle(boolean evict) {
     term.detectPause();
     if (!term.isActive() || !term.isLoaded() || cluster.machineTypes().isEmpty()) {
       return;
     }
-    double began = loop.now();
+    double startedAt = loop.now();
     cluster.consumeChanged();
-    OperatorSettings operator = leader.operator();
+    OperatorSettings operator = operatorSettings.get();
     Map<String, Team> teams = cluster.view().teams(operator.scheduling(), operator.teamWeights());
     SchedulingPlan plan =
         SchedulingCycle.run(
@@ -81,50 +119,63 @@
             operator.scheduling(),
             evict,
             random,
-            began);
+            startedAt);
+    apply(plan);
+    quotaMetrics.cycleCompleted(teams.values(), plan.quotaLimited());
+    logQuotaLimited(plan);
+    recordMetrics(plan, startedAt);
+    onCycleCompleted.accept(plan);
+  }
+
+  private void apply(SchedulingPlan plan) {
     plan.placements().forEach(this::place);
-    for (SchedulingPlan.Preemption s : plan.preemptions()) {
-      cluster.stop(s.task(), s.machine(), s.reason());
+    for (SchedulingPlan.Preemption preemption : plan.preemptions()) {
+      cluster.stop(preemption.task(), preemption.machine(), preemption.reason());
     }
-    teamMetrics.cycleCompleted(teams.values(), plan.quotaLimited());
-    logLimited(plan);
-    metrics.increment(Metrics.Counter.CYCLES, 1);
-    metrics.increment(Metrics.Counter.PLACED, plan.placements().size());
-    metrics.increment(Metrics.Counter.STOPPED, plan.preemptions().size());
-    lastCycleS = loop.now() - began;
-    metrics.recordLatency(Metrics.Latency.CYCLE, lastCycleS);
-    leader.cycleCompleted(plan);
   }
 
-  private void place(SchedulingPlan.Placement p) {
-    Optional<Attempt> attempt = cluster.place(p.task(), p.machine(), p.overdue());
-    LOG.debug(
-        "placing task {} on {}: attempt={} term={} unaccounted={} counted before: {}",
-        p.task(),
-        p.machine(),
-        attempt.map(Attempt::number).orElse(0L),
-        cluster.term(),
-        cluster.unreconciledCount(),
-        p.counted());
+  private void place(SchedulingPlan.Placement placement) {
+    Optional<Attempt> attempt =
+        cluster.place(placement.task(), placement.machine(), placement.overdue());
+    if (LOG.isDebugEnabled()) {
+      LOG.debug(
+          "Placing task: task={} machine={} attempt={} term={} unreconciled_machines={}"
+              + " quota_usage={}",
+          placement.task(),
+          placement.machine(),
+          attempt.map(Attempt::number).orElse(0L),
+          cluster.term(),
+          cluster.unreconciledCount(),
+          placement.counted());
+    }
   }
 
-  /** One line for each team that its limit holds back in a cycle, however many jobs that is. */
-  private void logLimited(SchedulingPlan plan) {
+  /** Logs one line for each team that its quota limits in a cycle, however many jobs that is. */
+  private void logQuotaLimited(SchedulingPlan plan) {
     if (!LOG.isDebugEnabled()) {
       return;
     }
-    Map<String, SchedulingPlan.QuotaLimitedTasks> first = new LinkedHashMap<>();
-    plan.quotaLimited().forEach(l -> first.putIfAbsent(l.job().team(), l));
-    for (SchedulingPlan.QuotaLimitedTasks l : first.values()) {
+    Map<String, SchedulingPlan.QuotaLimitedTasks> firstOfTeam = new LinkedHashMap<>();
+    plan.quotaLimited().forEach(limited -> firstOfTeam.putIfAbsent(limited.job().team(), limited));
+    for (SchedulingPlan.QuotaLimitedTasks limited : firstOfTeam.values()) {
       LOG.debug(
-          "limit holds back job={} tasks={} term={} unaccounted={} only_by_unaccounted={}"
-              + " counted: {}",
-          l.job().id(),
-          l.tasks(),
+          "Quota limits tasks: team={} job={} tasks={} term={} unreconciled_machines={}"
+              + " only_by_unreconciled={} quota_usage={}",
+          limited.job().team(),
+          limited.job().id(),
+          limited.tasks(),
           cluster.term(),
           cluster.unreconciledCount(),
-          l.onlyByUnreconciled(),
-          l.counted());
+          limited.onlyByUnreconciled(),
+          limited.counted());
     }
   }
+
+  private void recordMetrics(SchedulingPlan plan, double startedAt) {
+    metrics.increment(Metrics.Counter.CYCLES, 1);
+    metrics.increment(Metrics.Counter.PLACED, plan.placements().size());
+    metrics.increment(Metrics.Counter.STOPPED, plan.preemptions().size());
+    lastCycleS = loop.now() - startedAt;
+    metrics.recordLatency(Metrics.Latency.CYCLE, lastCycleS);
+  }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/failover/CancellationTracker.java
@@ -0,0 +1,73 @@
+package org.saffronshore.failover;
+
+import java.util.List;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.LeaderTerm;
+
+/**
+ * Applies cancellations, whoever learns of them, to the cluster of one term, and allows the leader
+ * to renew leases as far as all of them are known; see {@link CancellationHorizon}.
+ */
+final class CancellationTracker {
+  private final EventLoop loop;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final JobRemoval jobRemoval;
+  private final Runnable dueWork;
+  private final CancellationHorizon horizon;
+
+  /**
+   * Creates the tracker of one term.
+   *
+   * @param dueWork is run after a job is cancelled: its tasks are to be stopped
+   */
+  CancellationTracker(
+      EventLoop loop,
+      Settings settings,
+      LeaderTerm term,
+      Cluster cluster,
+      JobRemoval jobRemoval,
+      Runnable dueWork) {
+    this.loop = loop;
+    this.term = term;
+    this.cluster = cluster;
+    this.jobRemoval = jobRemoval;
+    this.dueWork = dueWork;
+    this.horizon = new CancellationHorizon(settings);
+  }
+
+  /** The open jobs were read from the state service, which was asked at that moment. */
+  void recordRead(double requestedAt) {
+    horizon.recordRead(requestedAt);
+    term.allowRenewalsUntil(horizon.renewalsAllowedUntil());
+  }
+
+  /** As of when the open jobs were last read. */
+  double readAt() {
+    return horizon.readAt();
+  }
+
+  /** See {@link Failover#peerReportedCancellations}. */
+  void peerReported(String peer, double requestedAt, double completeSince, List<String> jobs) {
+    if (!term.isLoaded()) {
+      return;
+    }
+    jobs.forEach(this::jobCancelled);
+    horizon.recordPeerReport(peer, requestedAt, completeSince);
+    term.allowRenewalsUntil(horizon.renewalsAllowedUntil());
+  }
+
+  /** See {@link Failover#jobCancelled}. */
+  void jobCancelled(String job) {
+    if (!term.isLoaded()) {
+      return;
+    }
+    cluster.jobEnded(job, false, loop.wallClockMs());
+    if (cluster.job(job) != null) {
+      jobRemoval.remove(job);
+      dueWork.run();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
@@ -0,0 +1,112 @@
+package org.saffronshore.failover;
+
+import java.util.ArrayList;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.Job;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.JobStore;
+import org.saffronshore.state.JobStore.JobStatus;
+import org.saffronshore.state.Transaction;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Commits the outcomes that the leader decides: jobs that are done, or cancelled by dependency. */
+final class JobOutcomeWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(JobOutcomeWriter.class);
+
+  private final EventLoop loop;
+  private final TermTransactions transactions;
+  private final JobStore store;
+  private final Cluster cluster;
+  private final JobRemoval jobRemoval;
+  private final Runnable dueWork;
+  private final double retryDelayS;
+  private double retryAt = Double.NEGATIVE_INFINITY;
+
+  /**
+   * Creates the writer of one term.
+   *
+   * @param dueWork is run after a job is done: others may be ready
+   */
+  JobOutcomeWriter(
+      EventLoop loop,
+      Settings settings,
+      TermTransactions transactions,
+      JobStore store,
+      Cluster cluster,
+      JobRemoval jobRemoval,
+      Runnable dueWork) {
+    this.loop = loop;
+    this.transactions = transactions;
+    this.store = store;
+    this.cluster = cluster;
+    this.jobRemoval = jobRemoval;
+    this.dueWork = dueWork;
+    this.retryDelayS = settings.heartbeatIntervalS() / 6;
+  }
+
+  /** Commits that complete jobs are done, before any user is told so. */
+  void saveCompletedJobs() {
+    if (cluster.completedJobs().isEmpty() || loop.now() < retryAt) {
+      return;
+    }
+    for (Job job : new ArrayList<>(cluster.completedJobs())) {
+      if (!job.outcomeWriteInFlight()) {
+        saveDone(job);
+      }
+    }
+  }
+
+  private void saveDone(Job job) {
+    String id = job.spec().id();
+    long endedAtMs = loop.wallClockMs();
+    Transaction transaction =
+        JobStore.addOutcome(transactions.begin(), id, job.version(), JobStatus.DONE, endedAtMs);
+    job.outcomeWriteInFlight(true);
+    transactions.commit(
+        transaction,
+        true,
+        result -> {
+          job.outcomeWriteInFlight(false);
+          doneSaved(id, endedAtMs, result);
+        });
+  }
+
+  private void doneSaved(String id, long endedAtMs, CommitResult result) {
+    if (result.isCommitted()) {
+      LOG.debug("Job is done: job={}", id);
+      store.recordOutcome(id, JobStatus.DONE);
+      cluster.jobEnded(id, true, endedAtMs);
+      jobRemoval.remove(id);
+      dueWork.run();
+    } else {
+      // Its user cancelled it, or an earlier try of ours was carried out, which the watch will
+      // bring; or the state service is away, and a try with every heartbeat would only add to its
+      // load.
+      retryAt = loop.now() + retryDelayS;
+    }
+  }
+
+  /**
+   * Commits that a job is cancelled since a job that it depends on is; users are told so already.
+   *
+   * @param then is run when the result is there, unless the term has ended by then
+   */
+  void saveCancelled(Job job, Runnable then) {
+    String id = job.spec().id();
+    Transaction transaction =
+        JobStore.addOutcome(
+            transactions.begin(), id, job.version(), JobStatus.CANCELLED, loop.wallClockMs());
+    transactions.commit(
+        transaction,
+        false,
+        result -> {
+          if (result.isCommitted()) {
+            store.recordOutcome(id, JobStatus.CANCELLED);
+          }
+          then.run();
+        });
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/failover/JobRemoval.java
@@ -0,0 +1,23 @@
+package org.saffronshore.failover;
+
+import org.saffronshore.cluster.Cluster;
+
+/** Removes jobs that are not open any more from the cluster and from the records of their tasks. */
+final class JobRemoval {
+  private final Cluster cluster;
+  private final LaunchWatermarkStore launchWatermarks;
+  private final FinishedTasksStore finishedTasks;
+
+  JobRemoval(
+      Cluster cluster, LaunchWatermarkStore launchWatermarks, FinishedTasksStore finishedTasks) {
+    this.cluster = cluster;
+    this.launchWatermarks = launchWatermarks;
+    this.finishedTasks = finishedTasks;
+  }
+
+  void remove(String job) {
+    cluster.removeJob(job);
+    launchWatermarks.remove(job);
+    finishedTasks.remove(job);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -0,0 +1,167 @@
+package org.saffronshore.failover;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.saffronshore.cluster.Cluster;
+import org.saffronshore.cluster.Job;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.leadership.LeaderTerm;
+import org.saffronshore.state.JobRecord;
+import org.saffronshore.state.Keys;
+import org.saffronshore.state.StateClient;
+import org.saffronshore.state.WatchResult;
+import org.saffronshore.wire.InvalidFieldException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Keeps one term's cluster in line with the open jobs of the state service. */
+final class OpenJobWatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(OpenJobWatcher.class);
+
+  private final EventLoop loop;
+  private final StateClient state;
+  private final LeaderTerm term;
+  private final Cluster cluster;
+  private final JobRemoval jobRemoval;
+  private final CancellationTracker cancellations;
+  private final Runnable dueWork;
+  private final double maxWatchS;
+  private final double retryDelayS;
+
+  /**
+   * Creates the watcher of one term.
+   *
+   * @param dueWork is run after jobs were added or removed
+   */
+  OpenJobWatcher(
+      EventLoop loop,
+      Settings settings,
+      StateClient state,
+      LeaderTerm term,
+      Cluster cluster,
+      JobRemoval jobRemoval,
+      CancellationTracker cancellations,
+      Runnable dueWork) {
+    this.loop = loop;
+    this.state = state;
+    this.term = term;
+    this.cluster = cluster;
+    this.jobRemoval = jobRemoval;
+    this.cancellations = cancellations;
+    this.dueWork = dueWork;
+    this.maxWatchS = settings.cancellationDeadlineS() / 20;
+    this.retryDelayS = settings.heartbeatIntervalS() / 10;
+  }
+
+  /** Adds the jobs that were open when the term began. */
+  void load(
+      StateClient.Listing openJobs,
+      Map<String, BitSet> finishedTasks,
+      Map<String, Integer> launchWatermarks) {
+    for (StateClient.Entry entry : openJobs.entries()) {
+      String id = Keys.idOf(entry.key());
+      add(
+          entry.key(),
+          entry.value(),
+          entry.version(),
+          finishedTasks.getOrDefault(id, new BitSet()),
+          launchWatermarks.getOrDefault(id, 0));
+    }
+  }
+
+  /** A job that was accepted after the term began: no other leader can have launched any of it. */
+  private void addNew(String key, JsonNode value, long version) {
+    add(key, value, version, new BitSet(), 0);
+  }
+
+  private void add(
+      String key, JsonNode value, long version, BitSet finishedTasks, int launchWatermark) {
+    try {
+      JobRecord job = JobRecord.parse(value);
+      cluster.addJob(job.spec(), version, job.submittedMs(), finishedTasks, launchWatermark);
+    } catch (InvalidFieldException e) {
+      LOG.error("Open job is unreadable: key={} reason={}", key, e.getMessage());
+    }
+  }
+
+  /**
+   * Follows the changes after a revision for as long as the term lasts. Cancellations are decided
+   * by all controllers and become known here, so this must never lag for long.
+   */
+  void watch(long revision) {
+    if (term.hasEnded()) {
+      return;
+    }
+    double requestedAt = loop.now();
+    state.watch(
+        Keys.OPEN_JOBS,
+        revision,
+        maxWatchS,
+        result -> {
+          if (term.hasEnded()) {
+            return;
+          }
+          switch (result.outcome()) {
+            case RECEIVED -> {
+              apply(result.events());
+              cancellations.recordRead(requestedAt);
+              watch(result.revision());
+            }
+            case COMPACTED -> relist();
+            case UNKNOWN -> loop.schedule(retryDelayS, () -> watch(revision));
+          }
+        });
+  }
+
+  private void apply(List<WatchResult.Event> events) {
+    for (WatchResult.Event event : events) {
+      if (event.value() != null) {
+        addNew(event.key(), event.value(), event.version());
+      } else {
+        jobRemoval.remove(Keys.idOf(event.key()));
+      }
+    }
+    if (!events.isEmpty()) {
+      dueWork.run();
+    }
+  }
+
+  private void relist() {
+    double requestedAt = loop.now();
+    state.list(
+        Keys.OPEN_JOBS,
+        true,
+        openJobs -> {
+          if (term.hasEnded()) {
+            return;
+          }
+          if (openJobs == null) {
+            loop.schedule(retryDelayS, this::relist);
+            return;
+          }
+          replaceAll(openJobs.entries());
+          cancellations.recordRead(requestedAt);
+          watch(openJobs.revision());
+          dueWork.run();
+        });
+  }
+
+  private void replaceAll(List<StateClient.Entry> openJobs) {
+    Set<String> ids = new HashSet<>();
+    for (StateClient.Entry entry : openJobs) {
+      ids.add(Keys.idOf(entry.key()));
+      addNew(entry.key(), entry.value(), entry.version());
+    }
+    for (Job job : new ArrayList<>(cluster.jobs())) {
+      if (!ids.contains(job.spec().id())) {
+        jobRemoval.remove(job.spec().id());
+      }
+    }
+  }
+}
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of this controller as leader: whether it still lasts, and what it allows at the moment.
- * The loops of the term ask here before they act; nothing here knows what they do.
+ * One term of this controller as leader: whether it still lasts, what it allows at the moment, and
+ * how it is ended. The loops of the term ask here before they act; nothing here knows what they do.
  */
 public final class LeaderTerm {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -44,6 +44,11 @@
     return number;
   }
 
+  /** The version of the leader's key as this term wrote it. */
+  public long leaderKeyVersion() {
+    return leadership.leaderKeyVersion();
+  }
+
   /** Whether this controller may act as leader at this moment. */
   public boolean isActive() {
     return !ended && leadership.isActive();
@@ -72,20 +77,50 @@
     return ended;
   }
 
+  /** This controller leads no more; called by the owner of the term. */
   public void end() {
     ended = true;
   }
 
+  /** Lets this controller renew leases and launch tasks until a moment, and not any longer. */
+  public void allowRenewalsUntil(double until) {
+    leadership.allowRenewalsUntil(until);
+  }
+
+  /** Steps down: the leadership is provably gone, or another controller would serve better. */
+  public void stepDown(String reason) {
+    leadership.stepDown(reason);
+  }
+
+  /** Steps down, and lets the others campaign for a while before this controller does. */
+  public void yieldLeadership(String reason) {
+    leadership.yieldLeadership(reason);
+  }
+
+  /**
+   * Steps down if a worker has seen a larger fencing token than this term's: there is a newer
+   * leader.
+   *
+   * @return whether that is so
+   */
+  public boolean stepDownIfSuperseded(String machine, long fencingToken) {
+    if (fencingToken <= number) {
+      return false;
+    }
+    stepDown("worker " + machine + " has seen token " + fencingToken);
+    return true;
+  }
+
   /**
    * Detects that this process was paused while its clock ran on: some loop of the term runs more
-   * often than several times in a report interval. To be called before anything is concluded from
-   * missing messages.
+   * often than several times in a heartbeat interval. To be called before anything is concluded
+   * from missing messages.
    */
   public void detectPause() {
     double now = loop.now();
     if (now - lastCheckedAt > pauseThresholdS) {
       LOG.info(
-          "term {}: process was paused for {} s",
+          "Process was paused: term={} duration_s={}",
           number,
           Math.round(10 * (now - lastCheckedAt)) / 10.0);
       onPause.run();
@@ -96,11 +131,11 @@
   /**
    * Repeats an action for as long as the term lasts, but runs it only while it is active.
    *
-   * @param seconds the time between the end of one run and the start of the next
+   * @param periodS the time between the end of one run and the start of the next, in seconds
    */
-  public void repeatWhileActive(double seconds, Runnable action) {
+  public void repeatWhileActive(double periodS, Runnable action) {
     loop.schedule(
-        seconds,
+        periodS,
         () -> {
           if (ended) {
             return;
@@ -111,7 +146,7 @@
               action.run();
             }
           } finally {
-            repeatWhileActive(seconds, action);
+            repeatWhileActive(periodS, action);
           }
         });
   }
--- /dev/null
+++ b/src/main/java/org/saffronshore/state/LaunchWatermarkEntry.java
@@ -0,0 +1,31 @@
+package org.saffronshore.state;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.IntNode;
+import org.saffronshore.wire.InvalidFieldException;
+
+/**
+ * The stored form of a job's launch watermark: an entry of the pages under {@link
+ * Keys#LAUNCH_WATERMARKS}, named after the job.
+ *
+ * @param watermark no task of the job from this index on was ever launched
+ */
+public record LaunchWatermarkEntry(int watermark) {
+
+  /**
+   * Reads a stored value.
+   *
+   * @throws InvalidFieldException when it is not a number
+   */
+  public static LaunchWatermarkEntry parse(JsonNode stored) throws InvalidFieldException {
+    if (!stored.canConvertToInt()) {
+      throw new InvalidFieldException("watermark", "must be a task index, and is " + stored);
+    }
+    return new LaunchWatermarkEntry(Math.max(0, stored.intValue()));
+  }
+
+  /** The stored form. */
+  public JsonNode toJson() {
+    return IntNode.valueOf(watermark);
+  }
+}
--- a/src/test/java/org/saffronshore/control/UpgradeTest.java
+++ b/src/test/java/org/saffronshore/control/UpgradeTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.saffronshore.TestData;
+import org.saffronshore.failover.CancellationHorizon;
 import org.saffronshore.http.Request;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
--- a/src/test/java/org/saffronshore/control/CancellationHorizonTest.java
+++ b/src/test/java/org/saffronshore/failover/CancellationHorizonTest.java
@@ -1,4 +1,4 @@
-package org.saffronshore.control;
+package org.saffronshore.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/org/saffronshore/control/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -1,4 +1,4 @@
-package org.saffronshore.control;
+package org.saffronshore.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,14 +21,15 @@
   private final ManualEventLoop loop = new ManualEventLoop();
   private final FakeStateService service = new FakeStateService(loop);
   private final StateClient state = new StateClient(loop, service, TestData.settings());
-  private final PagedRecords pages = new PagedRecords("r/", MAX_BYTES, 2 * MAX_BYTES);
+  private final PagedRecords pages =
+      new PagedRecords("r/", new PageLimits(MAX_BYTES, 2 * MAX_BYTES));
 
   private boolean write(PagedRecords from) {
     Transaction txn = new Transaction();
     PagedRecords.Batch batch = from.addTo(txn, 8, 1000);
     boolean[] ok = new boolean[1];
     if (!batch.isEmpty()) {
-      state.commit(txn, true, answer -> ok[0] = batch.written(state, answer));
+      state.commit(txn, true, answer -> ok[0] = batch.completed(state, answer));
       loop.pass(2);
     }
     return ok[0];
@@ -40,8 +41,8 @@
         "r/",
         true,
         listing ->
-            new PagedRecords("r/", MAX_BYTES, 2 * MAX_BYTES)
-                .read(listing.entries(), (name, value) -> all.put(name, value.asLong())));
+            new PagedRecords("r/", new PageLimits(MAX_BYTES, 2 * MAX_BYTES))
+                .load(listing.entries(), (name, value) -> all.put(name, value.asLong())));
     loop.pass(1);
     return all;
   }
@@ -131,7 +132,8 @@
   void aRefusedWriteIsRepeated() {
     pages.put("host-1", LongNode.valueOf(1));
     PagedRecords.Batch batch = pages.addTo(new Transaction(), 8, 1000);
-    assertFalse(batch.written(state, new CommitResult(CommitResult.Outcome.UNKNOWN, 0, Set.of())));
+    assertFalse(
+        batch.completed(state, new CommitResult(CommitResult.Outcome.UNKNOWN, 0, Set.of())));
     assertTrue(write(pages));
     assertEquals(Map.of("host-1", 1L), stored());
   }
@@ -142,24 +144,24 @@
    */
   @Test
   void aPageThatHasBecomeTooLongIsSplit() {
-    PagedRecords former = new PagedRecords("r/", 1000, 2000);
+    PagedRecords former = new PagedRecords("r/", new PageLimits(1000, 2000));
     for (int i = 0; i < 30; i++) {
       former.put("host-" + i, LongNode.valueOf(i));
     }
     assertTrue(write(former));
     service.valueBytes = 2 * MAX_BYTES;
-    state.list("r/", true, listing -> pages.read(listing.entries(), (name, value) -> {}));
+    state.list("r/", true, listing -> pages.load(listing.entries(), (name, value) -> {}));
     loop.pass(1);
-    assertTrue(pages.splitting());
+    assertTrue(pages.isSplitting());
     // Of what is taken out meanwhile a copy may be left that was never written.
     for (int i = 20; i < 30; i++) {
       pages.remove("host-" + i);
     }
-    for (int i = 0; i < 20 && pages.splitting(); i++) {
+    for (int i = 0; i < 20 && pages.isSplitting(); i++) {
       write(pages);
       assertTrue(stored().size() >= 20);
     }
-    assertFalse(pages.splitting());
+    assertFalse(pages.isSplitting());
     write(pages);
     assertEquals("{}", service.value("r/0").toString());
     assertEquals(20, stored().size());
