--- /dev/null
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -0,0 +1,170 @@
+package org.saffronshore.failover;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.saffronshore.state.RequestPriority;
+import com.fasterxml.jackson.databind.node.LongNode;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.saffronshore.FakeStateService;
+import org.saffronshore.ManualEventLoop;
+import org.saffronshore.TestData;
+import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.StateClient;
+import org.saffronshore.state.Transaction;
+
+class PagedRecordsTest {
+  private static final int MAX_BYTES = 60;
+  private final ManualEventLoop loop = new ManualEventLoop();
+  private final FakeStateService service = new FakeStateService(loop);
+  private final StateClient state = new StateClient(loop, service, TestData.settings());
+  private final PagedRecords records =
+      new PagedRecords("r/", new PageLimits(MAX_BYTES, 2 * MAX_BYTES));
+
+  private boolean write(PagedRecords source) {
+    Transaction transaction = new Transaction();
+    PagedRecords.Batch batch = source.addTo(transaction, 8, 1000);
+    boolean[] written = new boolean[1];
+    if (!batch.isEmpty()) {
+      state.commit(transaction, RequestPriority.VITAL, result -> written[0] = batch.completed(state, result));
+      loop.pass(2);
+    }
+    return written[0];
+  }
+
+  private Map<String, Long> stored() {
+    Map<String, Long> all = new TreeMap<>();
+    state.list(
+        "r/",
+        RequestPriority.VITAL,
+        listing ->
+            new PagedRecords("r/", new PageLimits(MAX_BYTES, 2 * MAX_BYTES))
+                .load(listing.orElseThrow().entries(), (name, value) -> all.put(name, value.asLong())));
+    loop.pass(1);
+    return all;
+  }
+
+  @Test
+  void manyEntriesAreWrittenToFewKeys() {
+    for (int i = 0; i < 10; i++) {
+      records.put("host-" + i, LongNode.valueOf(i));
+    }
+    assertTrue(write(records));
+    assertFalse(write(records), "nothing has changed");
+    assertEquals(10, stored().size());
+    assertTrue(service.version("r/1") > 0, "a page has a bounded length");
+    assertEquals(0, service.version("r/2"), "and is filled");
+    records.put("host-3", LongNode.valueOf(33));
+    for (int i = 4; i < 10; i++) {
+      records.remove("host-" + i);
+    }
+    assertTrue(write(records));
+    assertEquals(Map.of("host-0", 0L, "host-1", 1L, "host-2", 2L, "host-3", 33L), stored());
+  }
+
+  /** An entry that must not be missing for a moment is replaced in its page, or not at all. */
+  @Test
+  void replaceSucceedsOnlyWhileThePageHasRoom() {
+    for (int i = 0; i < 5; i++) {
+      records.put("host-" + i, LongNode.valueOf(i));
+    }
+    assertTrue(write(records));
+    long large = 1_000_000_000_000_000L;
+    int replaced = 0;
+    for (int i = 0; i < 5; i++) {
+      replaced += records.replace("host-" + i, LongNode.valueOf(large)) ? 1 : 0;
+    }
+    assertEquals(4, replaced, "5 of 11 bytes, each longer by 15, in 120");
+    assertFalse(records.replace("host-9", LongNode.valueOf(1)));
+    assertTrue(write(records));
+    assertEquals(0, service.version("r/1"));
+    assertEquals(4L, stored().values().stream().filter(v -> v == large).count());
+  }
+
+  /**
+   * A late write must not remove entries that were added since: a leader would not look for them.
+   */
+  @Test
+  void lateWriteOfAnOlderPageIsRefused() {
+    records.put("host-1", LongNode.valueOf(1));
+    service.held = (method, path) -> path.equals("/commit");
+    assertFalse(write(records), "the outcome is unknown");
+    service.held = (method, path) -> false;
+    records.put("host-2", LongNode.valueOf(2));
+    assertTrue(write(records));
+    service.deliverLate();
+    assertEquals(Map.of("host-1", 1L, "host-2", 2L), stored());
+  }
+
+  /** A late write must not restore, in a page that was emptied since, entries that were removed. */
+  @Test
+  void lateWriteDoesNotRecreateEntriesOfAnEmptiedPage() {
+    records.put("host-1", LongNode.valueOf(1));
+    service.held = (method, path) -> path.equals("/commit");
+    assertFalse(write(records));
+    service.held = (method, path) -> false;
+    assertTrue(write(records), "the repeat is carried out first");
+    records.remove("host-1");
+    assertTrue(write(records));
+    service.deliverLate();
+    assertEquals(Map.of(), stored());
+  }
+
+  /** A page must not be in conflict for good once a late write of it was carried out. */
+  @Test
+  void versionIsReadAgainAfterALateWriteWasCarriedOut() {
+    records.put("host-1", LongNode.valueOf(1));
+    service.held = (method, path) -> path.equals("/commit");
+    assertFalse(write(records));
+    service.held = (method, path) -> false;
+    service.deliverLate();
+    records.put("host-2", LongNode.valueOf(2));
+    assertFalse(write(records), "the key is there by now");
+    assertTrue(write(records));
+    assertEquals(Map.of("host-1", 1L, "host-2", 2L), stored());
+  }
+
+  @Test
+  void writeOfUnknownOutcomeIsRepeated() {
+    records.put("host-1", LongNode.valueOf(1));
+    PagedRecords.Batch batch = records.addTo(new Transaction(), 8, 1000);
+    assertFalse(
+        batch.completed(state, new CommitResult(CommitResult.Outcome.UNKNOWN, 0, Set.of())));
+    assertTrue(write(records));
+    assertEquals(Map.of("host-1", 1L), stored());
+  }
+
+  /**
+   * A page from a time when values could be longer is readable, and is split without an entry
+   * missing for a moment.
+   */
+  @Test
+  void pageAboveTheLimitIsSplitWithoutMissingEntries() {
+    PagedRecords recordsWithLongPages = new PagedRecords("r/", new PageLimits(1000, 2000));
+    for (int i = 0; i < 30; i++) {
+      recordsWithLongPages.put("host-" + i, LongNode.valueOf(i));
+    }
+    assertTrue(write(recordsWithLongPages));
+    service.valueBytes = 2 * MAX_BYTES;
+    state.list("r/", RequestPriority.VITAL, listing -> records.load(listing.orElseThrow().entries(), (name, value) -> {}));
+    loop.pass(1);
+    assertTrue(records.isSplitting());
+    // A copy whose entries are removed meanwhile may be left that was never written.
+    for (int i = 20; i < 30; i++) {
+      records.remove("host-" + i);
+    }
+    for (int i = 0; i < 20 && records.isSplitting(); i++) {
+      write(records);
+      assertTrue(stored().size() >= 20);
+    }
+    assertFalse(records.isSplitting());
+    write(records);
+    assertEquals("{}", service.value("r/0").toString());
+    assertEquals(20, stored().size());
+    assertEquals(0, service.malformed);
+  }
+}
