--- a/src/main/java/org/saffronshore/control/LeaderServices.java
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -1,5 +1,6 @@
 package org.saffronshore.control;
 
+import org.saffronshore.peer.PeerReachability;
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.Metrics;
@@ -22,6 +23,6 @@
     JobStore store,
     CloudClient cloud,
     Leadership leadership,
-    PeerLink peers,
+    PeerReachability peers,
     Metrics metrics,
     QuotaMetrics quotaMetrics) {}
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -1,5 +1,6 @@
 package org.saffronshore.control;
 
+import org.saffronshore.peer.PeerReachability;
 import java.util.function.DoubleSupplier;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
@@ -13,7 +14,7 @@
 final class LeadershipMonitor {
   private final EventLoop loop;
   private final StateClient state;
-  private final PeerLink peers;
+  private final PeerReachability peers;
   private final LeaderTerm term;
   private final Cluster cluster;
   private final DoubleSupplier cancellationsReadAt;
@@ -32,7 +33,7 @@
       EventLoop loop,
       Settings settings,
       StateClient state,
-      PeerLink peers,
+      PeerReachability peers,
       LeaderTerm term,
       Cluster cluster,
       DoubleSupplier cancellationsReadAt) {
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -54,6 +54,9 @@
   /** The most tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
+  /** The field that names the job's team. */
+  public static final String TEAM_FIELD = "Crew";
+
   /** The field of a submitted or stored job that names its dependencies. */
   public static final String DEPENDENCIES_FIELD = "Awaits";
 
@@ -69,6 +72,11 @@
     return text != null && ID.matcher(text).matches();
   }
 
+  /** The id in a submission that may be malformed otherwise; null when there is none. */
+  public static @Nullable String idOf(JsonNode body) {
+    return Json.text(body, "Uid");
+  }
+
   /**
    * Reads a submission or a stored job.
    *
@@ -88,7 +96,7 @@
     return new JobSpec(
         id,
         fields.text("RouteKind"),
-        fields.text("Crew"),
+        fields.text(TEAM_FIELD),
         Priority.fromWireName(fields.text("Urgency")),
         (int) fields.count("Legs", 1, MAX_TASKS),
         fields.number("Cores", 0, MAX),
@@ -165,7 +173,7 @@
     ObjectNode json = Json.object();
     json.put("Uid", id)
         .put("RouteKind", jobClass)
-        .put("Crew", team)
+        .put(TEAM_FIELD, team)
         .put("Shape", "array")
         .put("Urgency", priority.wireName())
         .put("Legs", tasks)
--- a/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
+++ b/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
@@ -39,10 +39,7 @@
   private void heartbeat(long number, boolean available, double availableAgoS) {
     PeerMessage message =
         new PeerMessage("n-1", "x", number, available, availableAgoS, PeerMessage.NO_TERM, null);
-    process
-        .node
-        .peers()
-        .handle(
+    process.node.handlePeer(
             new Request("POST", "/peer/hello", message.toCbor()),
             (code, type, bytes, retryAfterS) -> assertEquals(200, code));
   }
@@ -175,7 +172,7 @@
                               : Response.NOT_SENT));
             },
             new Random(1));
-    controller.peers().start();
+    controller.peerHeartbeats().start();
     loop.pass(3);
     unreachable.add(settings.peers().get(1).address());
     assertEquals(-1, votesReceived(controller), "one that responded a moment ago is waited for");
@@ -189,7 +186,7 @@
   /** How many votes arrive within a tenth of a second; -1 when more are waited for. */
   private int votesReceived(Controller controller) {
     int[] count = {-1};
-    controller.peers().requestVotes(1, votes -> false, votes -> count[0] = votes.size());
+    controller.peerVoting().requestVotes(1, votes -> false, votes -> count[0] = votes.size());
     loop.pass(0.1);
     return count[0];
   }
@@ -197,10 +194,7 @@
   private boolean granted(
       String path, String candidate, String incarnation, long number, long term) {
     boolean[] granted = new boolean[1];
-    process
-        .node
-        .peers()
-        .handle(
+    process.node.handlePeer(
             new Request(
                 "POST",
                 path,
