--- a/src/main/java/org/saffronshore/api/WorkerApi.java
+++ b/src/main/java/org/saffronshore/api/WorkerApi.java
@@ -129,7 +129,7 @@
     responder.json(MISDIRECTED_REQUEST, new RedirectResponse(target).toJson());
   }
 
-  /** The heartbeat in the body; null when it is malformed, which the sender has been told then. */
+  /** The heartbeat in the body; null when it is malformed, and the error response is sent. */
   private static @Nullable Heartbeat parse(Request request, Responder responder) {
     try {
       return Heartbeat.parse(request.body());
--- a/src/main/java/org/saffronshore/peer/JobProgressCache.java
+++ b/src/main/java/org/saffronshore/peer/JobProgressCache.java
@@ -7,7 +7,7 @@
   private long term;
   private Map<String, JobProgress> jobs = Map.of();
 
-  /** Records what a message of a leader says, unless a leader of a later term was heard already. */
+  /** Records what a message of a leader holds, unless one of a later term arrived before. */
   void record(PeerMessage message) {
     if (message.jobProgress() != null && message.term() >= term) {
       term = message.term();
--- a/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
+++ b/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
@@ -15,7 +15,7 @@
   /** One process of a controller. */
   private record Sender(String node, String incarnation) {}
 
-  /** The sequence number of the latest message of each process that was heard. */
+  /** The sequence number of the latest message of each process, in order of use. */
   private final Map<Sender, Long> latestSequences;
 
   OutdatedMessageDetector(int controllerCount) {
--- a/src/main/java/org/saffronshore/peer/PeerReachability.java
+++ b/src/main/java/org/saffronshore/peer/PeerReachability.java
@@ -7,8 +7,8 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * When peers were last heard, and when the state service last responded to them as far as they have
- * sent.
+ * When peers last responded or sent a message, and when the state service last responded to them by
+ * their messages.
  */
 public final class PeerReachability {
   /** A peer that left so many heartbeats without a response is not waited for. */
@@ -36,7 +36,7 @@
   /** When the state service last responded to each peer. */
   private final Map<String, Double> stateServiceAvailableAtByPeer = new HashMap<>();
 
-  /** Nothing has been heard yet. */
+  /** Begins without any response or message. */
   public PeerReachability(EventLoop loop, Settings settings) {
     this.loop = loop;
     this.hasPeers = !settings.peers().isEmpty();
--- a/src/main/java/org/saffronshore/state/StateServiceMonitor.java
+++ b/src/main/java/org/saffronshore/state/StateServiceMonitor.java
@@ -3,8 +3,8 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Whether the state service responds to this controller. Requests of other parts tell as they go;
- * when there are none for a while, a small key is read to find out.
+ * Whether the state service responds to this controller. Any request of this process shows it; when
+ * there was no response for a while, a small key is read to find out.
  */
 public final class StateServiceMonitor {
   private final EventLoop loop;
--- a/src/main/java/org/saffronshore/wire/JobStatusResponse.java
+++ b/src/main/java/org/saffronshore/wire/JobStatusResponse.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What a user is told of a job.
+ * The response to a user about a job.
  *
  * @param job the job's id
  * @param doneTasks how many tasks are done; shown of an open job only
