--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -7,271 +7,321 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings;
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.scheduling.PendingJob;
-import org.saffronshore.scheduling.PlacedTask;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.scheduling.SchedulingSettings;
 import org.saffronshore.scheduling.Team;
+import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 import org.saffronshore.wire.TaskId;
 
-/** The cluster as the cycle and the fleet look at it. Reads only. */
+/**
+ * The cluster as others look at it: machines, pending jobs and teams for the scheduling cycle;
+ * timelines and free resources of machines for the autoscaler; a summary for the log. Changes
+ * nothing.
+ */
 public final class ClusterView {
-  /** A job of which nothing has run for so many leases goes first, with one task. */
-  private static final double PATIENCE_LEASES = 4;
+  /** A job of which nothing has run for so many leases is overdue. */
+  private static final double OVERDUE_LEASES = 4;
+
+  /** A task is moved only when it will run for so many times the duration of a checkpoint. */
+  private static final double MIN_REMAINING_CHECKPOINTS = 4;
 
-  private final Cluster cluster;
   private final EventLoop loop;
   private final Settings settings;
+  private final JobTable jobs;
+  private final MachineTable machines;
+  private final Reconciliation reconciliation;
+  private final RuntimeEstimator runtimeEstimator;
 
-  ClusterView(Cluster cluster, EventLoop loop, Settings settings) {
-    this.cluster = cluster;
+  ClusterView(
+      EventLoop loop,
+      Settings settings,
+      JobTable jobs,
+      MachineTable machines,
+      Reconciliation reconciliation,
+      RuntimeEstimator runtimeEstimator) {
     this.loop = loop;
     this.settings = settings;
+    this.jobs = jobs;
+    this.machines = machines;
+    this.reconciliation = reconciliation;
+    this.runtimeEstimator = runtimeEstimator;
   }
 
-  /** One line for the log: how much there is, and how much of it is used. */
+  // For the log
+
+  /** Fields for a line of the log: how much there is, and how much of it is used. */
   public String summary() {
     int up = 0;
-    int coming = 0;
-    int fetching = 0;
-    double total = 0;
-    double used = 0;
-    double running = 0;
-    for (Machine m : cluster.machines()) {
-      MachineType type = cluster.typeOf(m);
-      if (!m.up || type == null) {
-        coming++;
+    int notUp = 0;
+    int pullingTasks = 0;
+    double upCpus = 0;
+    double usedCpus = 0;
+    double runningCpus = 0;
+    for (Machine machine : machines.all()) {
+      MachineType type = machines.typeOf(machine);
+      if (!machine.isUp() || type == null) {
+        notUp++;
         continue;
       }
       up++;
-      total += type.cpus();
-      for (Attempt a : m.attempts.values()) {
-        double cpus = a.job == null ? 0 : a.job.cpus();
-        used += cpus;
-        running += a.state == Attempt.State.RUNNING ? cpus : 0;
-        fetching += a.state == Attempt.State.PULLING_IMAGE ? 1 : 0;
+      upCpus += type.cpus();
+      for (Attempt attempt : machine.attempts()) {
+        JobSpec job = attempt.job();
+        double cpus = job == null ? 0 : job.cpus();
+        usedCpus += cpus;
+        runningCpus += attempt.state() == Attempt.State.RUNNING ? cpus : 0;
+        pullingTasks += attempt.state() == Attempt.State.PULLING_IMAGE ? 1 : 0;
       }
     }
-    int waiting = 0;
-    for (Job job : cluster.jobs()) {
-      waiting += job.ready ? job.waitingTasks.cardinality() : 0;
+    int waitingTasks = 0;
+    for (Job job : jobs.all()) {
+      waitingTasks += job.isReady() ? job.waitingTasks().cardinality() : 0;
     }
-    return cluster.machines().size()
-        + " machines ("
+    return "machines="
+        + machines.all().size()
+        + " up="
         + up
-        + " up, "
-        + coming
-        + " coming or lost, "
-        + cluster.unreconciledCount()
-        + " unaccounted), CPUs "
-        + Math.round(total)
-        + " up, "
-        + Math.round(used)
-        + " taken, "
-        + Math.round(running)
-        + " running; "
-        + cluster.jobs().size()
-        + " open jobs, "
-        + waiting
-        + " tasks waiting, "
-        + fetching
-        + " fetching; "
-        + cluster.dependencies().waitingCount()
-        + " jobs wait for others";
+        + " not_up="
+        + notUp
+        + " unreconciled="
+        + reconciliation.machines().size()
+        + " cpus_up="
+        + Math.round(upCpus)
+        + " cpus_used="
+        + Math.round(usedCpus)
+        + " cpus_running="
+        + Math.round(runningCpus)
+        + " open_jobs="
+        + jobs.all().size()
+        + " waiting_tasks="
+        + waitingTasks
+        + " pulling_tasks="
+        + pullingTasks
+        + " jobs_waiting_for_dependencies="
+        + jobs.dependencies().waitingCount();
   }
 
-  /** What is free on a machine now, or null when nothing may be put there. */
-  public Resources freeOn(Machine m) {
-    MachineType type = cluster.typeOf(m);
-    if (type == null || !m.isSchedulable(loop.now())) {
-      return null;
-    }
-    Resources room = Resources.capacityOf(type);
-    for (Attempt a : m.attempts.values()) {
-      room.subtract(a.job);
+  // For the scheduling cycle
+
+  /**
+   * Machines on which tasks may be placed. What did not change since the last time is not made
+   * anew.
+   */
+  public List<MachineView> schedulableMachines() {
+    double now = loop.now();
+    List<MachineView> views = new ArrayList<>(machines.all().size());
+    for (Machine machine : machines.all()) {
+      MachineType type = machines.typeOf(machine);
+      if (type != null && machine.isSchedulable(now)) {
+        views.add(machine.view(type));
+      }
     }
-    return room;
+    return views;
   }
 
   /**
-   * What the fleet may count on: machines that are up or coming.
+   * Jobs with tasks that may be placed now.
    *
-   * @param released whether to count what running tasks will leave
+   * @param canRaiseWatermarks whether launch watermarks can be written; if not, tasks beyond the
+   *     present ones have to wait
    */
-  public List<Forecast.MachineTimeline> machineTimelines(double lateBoot, boolean released) {
+  public List<PendingJob> pendingJobs(boolean canRaiseWatermarks) {
     double now = loop.now();
-    List<Forecast.MachineTimeline> lines = new ArrayList<>();
-    for (Machine m : cluster.machines()) {
-      MachineType type = cluster.typeOf(m);
-      if (type == null || !m.isReliable(now)) {
+    List<PendingJob> pendingJobs = new ArrayList<>();
+    boolean anyMayHoldAnything = reconciliation.anyMayHoldAnything();
+    for (Job job : jobs.all()) {
+      if (!job.isReady() || job.waitingTasks().isEmpty() || job.isInBackoff(now)) {
         continue;
       }
-      if (m.up) {
-        lines.add(line(m, type, released, now));
-      } else if (!m.wasEverUp() && now < m.rentedAt + type.bootS() * lateBoot) {
-        double upAt = Math.max(now, m.rentedAt + type.bootS());
-        lines.add(new Forecast.MachineTimeline(m.kind(), Resources.capacityOf(type), upAt));
+      BitSet tasks =
+          reconciliation.mayRunOnUnreconciled(job)
+              ? tasksCertainlyNowhere(job, anyMayHoldAnything)
+              : job.waitingTasks();
+      if (!canRaiseWatermarks) {
+        tasks = tasks.get(0, Math.min(job.launchWatermark(), job.spec().tasks()));
       }
-    }
-    return lines;
-  }
-
-  private Forecast.MachineTimeline line(Machine m, MachineType type, boolean released, double now) {
-    Resources room = Resources.capacityOf(type);
-    Forecast.MachineTimeline line =
-        new Forecast.MachineTimeline(m.kind(), room, Math.max(now, m.backoffUntil));
-    for (Attempt a : m.attempts.values()) {
-      if (a.job == null) {
+      boolean zonesMatter = PendingJob.hasZoneConstraint(job.spec());
+      if (tasks.isEmpty() || (zonesMatter && reconciliation.mayRunInUnknownZone(job))) {
         continue;
       }
-      room.subtract(a.job);
-      if (released) {
-        line.running(a.job, now + cluster.remainingRuntimeS(a, now));
-      }
+      Map<String, Integer> perZone = zonesMatter ? tasksPerZone(job) : Map.of();
+      PendingJob pendingJob = new PendingJob(job.spec(), job.version(), tasks, perZone);
+      pendingJobs.add(isOverdue(job) ? pendingJob.overdue() : pendingJob);
     }
-    return line;
+    return pendingJobs;
   }
 
-  /** How many tasks of each job there are on machines of some types. */
-  public List<DisplacedTasks.Running> runningOn(Set<String> types) {
-    Map<String, Map<String, DisplacedTasks.Running>> all = new HashMap<>();
-    for (Machine m : cluster.machines()) {
-      if (m.up && types.contains(m.type)) {
-        for (Attempt a : m.attempts.values()) {
-          if (a.job != null) {
-            all.computeIfAbsent(m.type, t -> new LinkedHashMap<>())
-                .merge(
-                    a.job.id(),
-                    new DisplacedTasks.Running(m.type, a.job, 1),
-                    (r, one) -> new DisplacedTasks.Running(r.type(), r.job(), r.tasks() + 1));
-          }
+  /** Waiting tasks of the job except for those that unreconciled machines may hold. */
+  private BitSet tasksCertainlyNowhere(Job job, boolean anyMayHoldAnything) {
+    BitSet tasks = (BitSet) job.waitingTasks().clone();
+    if (anyMayHoldAnything) {
+      tasks.andNot(job.waitingTasksLaunchedBefore());
+      return tasks;
+    }
+    for (Machine machine : reconciliation.machines()) {
+      for (TaskId task : machine.possibleTasks().named()) {
+        if (task.job().equals(job.id())) {
+          tasks.clear(task.index());
         }
       }
     }
-    List<DisplacedTasks.Running> list = new ArrayList<>();
-    all.values().forEach(jobs -> list.addAll(jobs.values()));
-    return list;
+    return tasks;
   }
 
-  /** Machines that can take tasks. What did not change since the last time is not made anew. */
-  public List<MachineView> hosts() {
-    double now = loop.now();
-    List<MachineView> hosts = new ArrayList<>(cluster.machines().size());
-    for (Machine m : cluster.machines()) {
-      MachineType type = cluster.typeOf(m);
-      if (type == null || !m.isSchedulable(now)) {
-        continue;
-      }
-      if (m.cachedView == null || m.cachedView.isModified()) {
-        m.cachedView =
-            new MachineView(m.id, m.kind(), Resources.capacityOf(type), m::hasTraceOf, m.images());
-        for (Attempt a : m.attempts.values()) {
-          m.cachedView.add(new PlacedTask(a.task, a.job, a.stopping, a.runningSince, a.overdue));
-        }
-      }
-      hosts.add(m.cachedView);
+  /** How many tasks of the job each zone has, or may have. */
+  private static Map<String, Integer> tasksPerZone(Job job) {
+    Map<String, Integer> perZone = new HashMap<>();
+    job.placedAttempts().forEach(attempt -> addToZone(attempt, perZone));
+    job.duplicateAttempts().forEach(attempt -> addToZone(attempt, perZone));
+    return perZone;
+  }
+
+  private static void addToZone(Attempt attempt, Map<String, Integer> perZone) {
+    perZone.merge(attempt.machine().zone(), 1, Integer::sum);
+  }
+
+  /** Whether the job has waited for very long, and nothing of it has ever run. */
+  private boolean isOverdue(Job job) {
+    double limitS = OVERDUE_LEASES * settings.workerLeaseS();
+    return job.waitingTimeS(loop.wallClockMs()) > limitS && job.isUntouched();
+  }
+
+  /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
+  public Map<String, Team> teams(SchedulingSettings tuning, Map<String, Double> weights) {
+    Map<String, Team> teams = new HashMap<>();
+    for (Settings.TeamQuota quota : settings.teams().values()) {
+      double guarantee = quota.guaranteedCpus() + quota.guaranteedGpus();
+      double weight = weights.getOrDefault(quota.name(), guarantee > 0 ? guarantee : 1.0);
+      teams.put(quota.name(), new Team(quota, weight));
     }
-    return hosts;
+    QuotaAccounting.count(jobs, machines, reconciliation, teams, tuning);
+    return teams;
   }
 
-  /** Waiting tasks of the job but for those that machines not accounted for may hold. */
-  private BitSet seen(Job job, boolean anything) {
-    BitSet waiting = (BitSet) job.waitingTasks.clone();
-    if (anything) {
-      waiting.andNot(job.waitingTasksLaunchedBefore());
-      return waiting;
+  // For the autoscaler
+
+  /** What is free on a machine now, or null when nothing may be placed there. */
+  public @Nullable Resources freeResources(Machine machine) {
+    MachineType type = machines.typeOf(machine);
+    if (type == null || !machine.isSchedulable(loop.now())) {
+      return null;
     }
-    for (Machine m : cluster.unreconciled()) {
-      for (TaskId task : m.possibleTasks) {
-        if (task.job().equals(job.spec.id())) {
-          waiting.clear(task.index());
-        }
-      }
+    Resources free = Resources.capacityOf(type);
+    for (Attempt attempt : machine.attempts()) {
+      free.subtract(attempt.job());
     }
-    return waiting;
+    return free;
   }
 
   /**
-   * Jobs with tasks that may be placed now.
+   * What the autoscaler may count on: machines that are up or starting.
    *
-   * @param written whether it can be written down that more tasks may be launched; if not, they
-   *     have to wait
+   * @param lateBootFactor a machine that takes so many times its boot time is not counted on
+   * @param countReleased whether to count what running tasks will release
    */
-  public List<PendingJob> pending(boolean written) {
+  public List<Forecast.MachineTimeline> machineTimelines(
+      double lateBootFactor, boolean countReleased) {
     double now = loop.now();
-    List<PendingJob> all = new ArrayList<>();
-    boolean anything = cluster.anyUnreconciledMayHoldAnything();
-    for (Job job : cluster.jobs()) {
-      if (!job.ready || job.waitingTasks.isEmpty() || now < job.backoffUntil) {
+    List<Forecast.MachineTimeline> timelines = new ArrayList<>();
+    for (Machine machine : machines.all()) {
+      MachineType type = machines.typeOf(machine);
+      if (type == null || !machine.isReliable(now)) {
         continue;
       }
-      BitSet waiting = cluster.mayRunOnUnreconciled(job) ? seen(job, anything) : job.waitingTasks;
-      if (!written) {
-        waiting = waiting.get(0, Math.min(job.launchWatermark, job.spec.tasks()));
-      }
-      boolean zonesMatter = PendingJob.hasZoneConstraint(job.spec);
-      if (waiting.isEmpty() || (zonesMatter && cluster.mayRunInUnknownZone(job))) {
-        continue;
+      if (machine.isUp()) {
+        timelines.add(timeline(machine, type, countReleased, now));
+      } else if (!machine.wasEverUp() && now < machine.rentedAt() + type.bootS() * lateBootFactor) {
+        double upAt = Math.max(now, machine.rentedAt() + type.bootS());
+        timelines.add(
+            new Forecast.MachineTimeline(machine.kind(), Resources.capacityOf(type), upAt));
       }
-      Map<String, Integer> perZone = zonesMatter ? perZone(job) : Map.of();
-      PendingJob pending = new PendingJob(job.spec, job.version, waiting, perZone);
-      all.add(starving(job) ? pending.overdue() : pending);
     }
-    return all;
+    return timelines;
   }
 
-  /** How many tasks of the job each zone has, or may have. */
-  private static Map<String, Integer> perZone(Job job) {
-    Map<String, Integer> perZone = new HashMap<>();
-    job.placed.values().forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
-    job.duplicateAttempts.forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
-    return perZone;
+  private Forecast.MachineTimeline timeline(
+      Machine machine, MachineType type, boolean countReleased, double now) {
+    Resources free = Resources.capacityOf(type);
+    Forecast.MachineTimeline timeline =
+        new Forecast.MachineTimeline(
+            machine.kind(), free, Math.max(now, machine.health().backoffUntil()));
+    for (Attempt attempt : machine.attempts()) {
+      JobSpec job = attempt.job();
+      if (job == null) {
+        continue;
+      }
+      free.subtract(job);
+      if (countReleased) {
+        timeline.running(job, now + remainingRuntimeS(job, attempt, now));
+      }
+    }
+    return timeline;
   }
 
-  /** Whether the job has waited for very long, and nothing of it has ever run. */
-  private boolean starving(Job job) {
-    boolean waitsLong =
-        job.waitingTimeS(loop.wallClockMs()) > PATIENCE_LEASES * settings.workerLeaseS();
-    return waitsLong && !job.hasStarted && job.finishedTasks.isEmpty() && job.placed.isEmpty();
+  private double remainingRuntimeS(JobSpec job, Attempt attempt, double now) {
+    return runtimeEstimator.remainingRuntimeS(job, attempt.runningSince(), now);
   }
 
-  /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
-  public Map<String, Team> teams(SchedulingSettings tuning, Map<String, Double> weights) {
-    Map<String, Team> teams = new HashMap<>();
-    for (Settings.TeamQuota t : settings.teams().values()) {
-      double guarantee = t.guaranteedCpus() + t.guaranteedGpus();
-      teams.put(
-          t.name(), new Team(t, weights.getOrDefault(t.name(), guarantee > 0 ? guarantee : 1.0)));
+  /** How many tasks of each job there are on machines of some types. */
+  public List<DisplacedTasks.Running> tasksOnMachineTypes(Set<String> types) {
+    Map<String, Map<String, DisplacedTasks.Running>> byType = new HashMap<>();
+    for (Machine machine : machines.all()) {
+      String type = machine.type();
+      if (machine.isUp() && type != null && types.contains(type)) {
+        for (Attempt attempt : machine.attempts()) {
+          JobSpec job = attempt.job();
+          if (job != null) {
+            byType
+                .computeIfAbsent(type, name -> new LinkedHashMap<>())
+                .merge(
+                    job.id(),
+                    new DisplacedTasks.Running(type, job, 1),
+                    (sum, one) ->
+                        new DisplacedTasks.Running(sum.type(), sum.job(), sum.tasks() + 1));
+          }
+        }
+      }
     }
-    QuotaAccounting.count(cluster, teams, tuning);
-    return teams;
+    List<DisplacedTasks.Running> running = new ArrayList<>();
+    byType.values().forEach(byJob -> running.addAll(byJob.values()));
+    return running;
   }
 
   /**
-   * Whether everything on a machine saves its work, has run for a while and will run on, and may go
-   * anywhere.
+   * Whether everything on a machine saves its progress, has run for a while and will run on, and
+   * may go anywhere.
    */
-  public boolean movable(Machine m, double minRunS) {
+  public boolean isMovable(Machine machine, double minRunS) {
     double now = loop.now();
-    if (m.isEmpty() || !m.isSchedulable(now)) {
+    if (machine.isEmpty() || !machine.isSchedulable(now)) {
       return false;
     }
-    for (Attempt a : m.attempts.values()) {
-      boolean free = a.job.supportsCheckpoints() && !a.job.singleZone() && !a.job.spread();
-      if (!free
-          || a.stopping
-          || a.state != Attempt.State.RUNNING
-          || now < a.runningSince + minRunS
-          || cluster.remainingRuntimeS(a, now) < 4 * a.job.checkpointDurationS()) {
+    for (Attempt attempt : machine.attempts()) {
+      if (!isMovable(attempt, minRunS, now)) {
         return false;
       }
     }
     return true;
   }
+
+  private boolean isMovable(Attempt attempt, double minRunS, double now) {
+    JobSpec job = attempt.job();
+    return job != null
+        && job.supportsCheckpoints()
+        && !job.singleZone()
+        && !job.spread()
+        && !attempt.stopping()
+        && attempt.state() == Attempt.State.RUNNING
+        && now >= attempt.runningSince() + minRunS
+        && remainingRuntimeS(job, attempt, now)
+            >= MIN_REMAINING_CHECKPOINTS * job.checkpointDurationS();
+  }
 }
--- a/src/main/java/org/saffronshore/cluster/CommandBatch.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBatch.java
@@ -4,10 +4,10 @@
 import org.saffronshore.wire.Command;
 
 /**
- * A direct call that is ready to go to a worker.
+ * A direct command message that is ready to be sent to a worker.
  *
- * @param epoch the session of the worker that it is meant for
- * @param commands all of it, in the order in which the worker carries it out
+ * @param epoch the worker's epoch that it is meant for; in any other it is rejected
+ * @param commands all of it, in the order in which the worker executes it
  * @param launches the attempts whose launches are among the commands
  */
 public record CommandBatch(
--- a/src/main/java/org/saffronshore/cluster/DependencyGraph.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -8,157 +8,166 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import org.saffronshore.wire.Priority;
 
 /**
- * Which open jobs need which others, and what is known of how those ended: who is ready, who is
- * cancelled with whom, and which priority counts. Knows nothing of tasks, machines or the state
- * service.
+ * Which open jobs depend on which others, and what is known of how those ended: which are ready,
+ * which are cancelled together, and which priority counts. Knows nothing of tasks, machines or the
+ * state service.
  */
 public final class DependencyGraph {
 
-  private static final class Entry {
-    final Priority own;
-    final List<String> needs;
+  /** An open job with its own priority. */
+  private record Entry(Priority ownPriority, List<String> dependencies) {}
 
-    Entry(Priority own, List<String> needs) {
-      this.own = own;
-      this.needs = needs;
-    }
-  }
+  /** How a job ended that others depend on, and at which time of day; done, or cancelled. */
+  private record Outcome(boolean done, long atMs) {}
 
-  /** How a job ended that others need, and when; done, or cancelled. */
-  private record End(boolean done, long atMs) {}
+  private final Map<String, Entry> openJobs = new LinkedHashMap<>();
 
-  /** Open jobs that need others or are needed. */
-  private final Map<String, Entry> open = new LinkedHashMap<>();
+  /** Open jobs that depend on a job, directly. */
+  private final Map<String, Set<String>> dependents = new HashMap<>();
 
-  /** Open jobs that need the job. */
-  private final Map<String, Set<String>> needers = new HashMap<>();
+  private final Map<String, Outcome> outcomes = new HashMap<>();
 
-  private final Map<String, End> ends = new HashMap<>();
+  /** Whether other priorities may count since the last {@link #updatedPriorities}. */
+  private boolean prioritiesStale;
 
-  /** Whether other priorities may count since they were last asked for. */
-  private boolean stale;
-
-  /** An open job; for one that needs no other only the priority counts, should others need it. */
-  public void add(String job, Priority own, List<String> needs) {
-    open.put(job, new Entry(own, needs));
-    for (String needed : needs) {
-      needers.computeIfAbsent(needed, n -> new LinkedHashSet<>()).add(job);
+  /**
+   * Adds an open job. For one without dependencies only the priority counts, should others depend
+   * on it.
+   */
+  public void add(String job, Priority ownPriority, List<String> dependencies) {
+    openJobs.put(job, new Entry(ownPriority, dependencies));
+    for (String dependency : dependencies) {
+      dependents.computeIfAbsent(dependency, name -> new LinkedHashSet<>()).add(job);
     }
-    stale |= !needs.isEmpty() || needers.containsKey(job);
+    prioritiesStale |= !dependencies.isEmpty() || dependents.containsKey(job);
   }
 
-  /** The job is not open any more; how it ended may have to be asked. */
+  /** The job is not open any more; how it ended may not be known yet. */
   public void remove(String job) {
-    Entry entry = open.remove(job);
+    Entry entry = openJobs.remove(job);
     if (entry == null) {
       return;
     }
-    for (String needed : entry.needs) {
-      Set<String> left = needers.get(needed);
-      left.remove(job);
-      if (left.isEmpty()) {
-        needers.remove(needed);
-        ends.remove(needed);
-      }
+    for (String dependency : entry.dependencies) {
+      removeDependent(dependency, job);
     }
-    stale |= !entry.needs.isEmpty();
+    prioritiesStale |= !entry.dependencies.isEmpty();
   }
 
-  /** How a job ended; kept as long as an open job needs it. */
+  private void removeDependent(String dependency, String job) {
+    Set<String> remaining = dependents.get(dependency);
+    if (remaining == null) {
+      return;
+    }
+    remaining.remove(job);
+    if (remaining.isEmpty()) {
+      dependents.remove(dependency);
+      outcomes.remove(dependency);
+    }
+  }
+
+  /** How a job ended; kept as long as an open job depends on it. */
   public void jobEnded(String job, boolean done, long atMs) {
-    if (needers.containsKey(job)) {
-      ends.putIfAbsent(job, new End(done, atMs));
+    if (dependents.containsKey(job)) {
+      outcomes.putIfAbsent(job, new Outcome(done, atMs));
     }
   }
 
-  /** Whether all jobs that it needs are known to be done. */
+  /** Whether all its dependencies are known to be done. */
   public boolean isReady(String job) {
-    Entry entry = open.get(job);
-    return entry == null
-        || entry.needs.stream()
-            .allMatch(needed -> ends.containsKey(needed) && ends.get(needed).done);
+    Entry entry = openJobs.get(job);
+    return entry == null || entry.dependencies.stream().allMatch(this::isDone);
   }
 
-  /** When the last job that it needs was done, at a time of day; 0 when it needs none. */
+  private boolean isDone(String job) {
+    Outcome outcome = outcomes.get(job);
+    return outcome != null && outcome.done;
+  }
+
+  /** Time of day at which its last dependency was done; 0 when it has none. */
   public long readyAtMs(String job) {
-    Entry entry = open.get(job);
-    return entry == null
-        ? 0
-        : entry.needs.stream()
-            .filter(ends::containsKey)
-            .mapToLong(n -> ends.get(n).atMs)
-            .max()
-            .orElse(0);
+    Entry entry = openJobs.get(job);
+    if (entry == null) {
+      return 0;
+    }
+    return entry.dependencies.stream()
+        .map(outcomes::get)
+        .filter(Objects::nonNull)
+        .mapToLong(Outcome::atMs)
+        .max()
+        .orElse(0);
   }
 
-  /** Open jobs that need the job, directly. */
+  /** Open jobs that depend on the job, directly. */
   public Collection<String> dependents(String job) {
-    return new ArrayList<>(needers.getOrDefault(job, Set.of()));
+    return new ArrayList<>(dependents.getOrDefault(job, Set.of()));
   }
 
-  /** Jobs that are needed, are not open, and of which it is not known how they ended. */
+  /** Jobs that others depend on, that are not open, and of which the outcome is not known. */
   public List<String> unresolved() {
-    return needers.keySet().stream()
-        .filter(job -> !open.containsKey(job) && !ends.containsKey(job))
+    return dependents.keySet().stream()
+        .filter(job -> !openJobs.containsKey(job) && !outcomes.containsKey(job))
         .toList();
   }
 
-  /** Open jobs that are cancelled, since a job that they need is, directly or through others. */
+  /** Open jobs to be cancelled, since a dependency was, directly or through others. */
   public List<String> cancelledJobs() {
-    Set<String> all = new LinkedHashSet<>();
-    ArrayDeque<String> todo = new ArrayDeque<>();
-    ends.forEach(
-        (job, end) -> {
-          if (!end.done) {
-            todo.add(job);
+    Set<String> cancelled = new LinkedHashSet<>();
+    ArrayDeque<String> pending = new ArrayDeque<>();
+    outcomes.forEach(
+        (job, outcome) -> {
+          if (!outcome.done) {
+            pending.add(job);
           }
         });
-    while (!todo.isEmpty()) {
-      for (String needer : needers.getOrDefault(todo.poll(), Set.of())) {
-        if (open.containsKey(needer) && all.add(needer)) {
-          todo.add(needer);
+    while (!pending.isEmpty()) {
+      for (String dependent : dependents.getOrDefault(pending.remove(), Set.of())) {
+        if (openJobs.containsKey(dependent) && cancelled.add(dependent)) {
+          pending.add(dependent);
         }
       }
     }
-    return new ArrayList<>(all);
+    return new ArrayList<>(cancelled);
   }
 
   /**
-   * The priority that counts of each open job: the highest of its own and of those that need it,
-   * directly or through others. In one pass over the graph; empty when nothing has changed since
-   * the last.
+   * The priority that counts of each open job: the highest of its own and of those that depend on
+   * it, directly or through others. In one pass over the graph; empty when nothing has changed
+   * since the last.
    */
   public Map<String, Priority> updatedPriorities() {
-    Map<String, Priority> all = new HashMap<>();
-    if (stale) {
-      stale = false;
-      open.keySet().forEach(job -> highest(job, all));
+    Map<String, Priority> priorities = new HashMap<>();
+    if (prioritiesStale) {
+      prioritiesStale = false;
+      openJobs.keySet().forEach(job -> addPriority(job, priorities));
     }
-    return all;
+    return priorities;
   }
 
   /**
-   * Deep chains must not use up the stack, so what has to be known first is put before the job that
-   * waits for it.
+   * Adds the priorities of a job and of all that depend on it. Deep chains must not use up the call
+   * stack, so what has to be known first is put before the job that depends on it.
    */
-  private void highest(String from, Map<String, Priority> known) {
+  private void addPriority(String from, Map<String, Priority> known) {
     ArrayDeque<String> stack = new ArrayDeque<>();
     stack.push(from);
     while (!stack.isEmpty()) {
-      String job = stack.peek();
-      Priority highest = open.containsKey(job) ? open.get(job).own : Priority.IDLE;
+      String job = stack.element();
+      Entry entry = openJobs.get(job);
+      Priority highest = entry == null ? Priority.IDLE : entry.ownPriority;
       boolean complete = true;
-      for (String needer : needers.getOrDefault(job, Set.of())) {
-        Priority its = known.get(needer);
-        if (its == null) {
-          stack.push(needer);
+      for (String dependent : dependents.getOrDefault(job, Set.of())) {
+        Priority priority = known.get(dependent);
+        if (priority == null) {
+          stack.push(dependent);
           complete = false;
-        } else if (its.compareTo(highest) > 0) {
-          highest = its;
+        } else if (priority.compareTo(highest) > 0) {
+          highest = priority;
         }
       }
       if (complete) {
@@ -168,8 +177,8 @@
     }
   }
 
-  /** How many open jobs wait for others. */
+  /** How many open jobs wait for their dependencies. */
   public long waitingCount() {
-    return open.keySet().stream().filter(job -> !isReady(job)).count();
+    return openJobs.keySet().stream().filter(job -> !isReady(job)).count();
   }
 }
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.fleet.ArrivalStatistics;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.JobSpec;
@@ -45,31 +46,32 @@
     return jobs.values();
   }
 
-  Job get(String id) {
+  @Nullable Job get(String id) {
     return jobs.get(id);
   }
 
   /** Whether the job was accepted before this term began, and may thus have been launched. */
   boolean isOlderThanTerm(Job job) {
-    return job.version < termVersion;
+    return job.version() < termVersion;
   }
 
   /**
    * Adds an open job; a job that is known already stays as it is.
    *
-   * @param launchMark no task from this one on was ever launched
+   * @param launchWatermark no task from this one on was ever launched
    */
-  void add(JobSpec spec, long version, long submittedMs, BitSet done, int launchMark) {
+  void add(
+      JobSpec spec, long version, long submittedAtMs, BitSet finishedTasks, int launchWatermark) {
     if (jobs.containsKey(spec.id())) {
       return;
     }
-    Job job = new Job(spec, version, submittedMs, done, launchMark);
+    Job job = new Job(spec, version, submittedAtMs, finishedTasks, launchWatermark);
     jobs.put(spec.id(), job);
     dependencies.add(spec.id(), spec.priority(), spec.dependencies());
     if (spec.dependencies().isEmpty()) {
       arrivals.jobArrived(spec, version > termVersion, loop.now());
     } else {
-      job.ready = false;
+      job.waitForDependencies();
       updateReadiness(job);
     }
     updatePriorities();
@@ -79,23 +81,27 @@
     onChange.run();
   }
 
-  /** Which open jobs need which others. */
+  /** Which open jobs depend on which others. */
   DependencyGraph dependencies() {
     return dependencies;
   }
 
-  /** How a job ended that others may need: some of them may be ready by that. */
+  /** How a job ended that others may depend on: some of them may be ready by that. */
   void jobEnded(String id, boolean done, long atMs) {
     dependencies.jobEnded(id, done, atMs);
-    dependencies.dependents(id).forEach(needer -> updateReadiness(jobs.get(needer)));
+    for (String dependent : dependencies.dependents(id)) {
+      Job job = jobs.get(dependent);
+      if (job != null) {
+        updateReadiness(job);
+      }
+    }
   }
 
   private void updateReadiness(Job job) {
-    if (!job.ready && dependencies.isReady(job.spec.id())) {
-      LOG.debug("job {} is ready: all that it needs is done", job.spec.id());
-      job.ready = true;
-      job.readyAtMs = dependencies.readyAtMs(job.spec.id());
-      arrivals.jobArrived(job.spec, job.version > termVersion, loop.now());
+    if (!job.isReady() && dependencies.isReady(job.id())) {
+      LOG.debug("All dependencies are done: job={}", job.id());
+      job.dependenciesDone(dependencies.readyAtMs(job.id()));
+      arrivals.jobArrived(job.spec(), job.version() > termVersion, loop.now());
       onChange.run();
     }
   }
@@ -106,7 +112,7 @@
         .forEach(
             (id, priority) -> {
               Job job = jobs.get(id);
-              if (job != null && job.spec.priority() != priority) {
+              if (job != null && job.spec().priority() != priority) {
                 job.reprioritize(priority);
                 onChange.run();
               }
@@ -114,7 +120,7 @@
   }
 
   /** The job is over; null when it was not open. */
-  Job remove(String id) {
+  @Nullable Job remove(String id) {
     Job job = jobs.remove(id);
     if (job == null) {
       return null;
@@ -131,26 +137,25 @@
    * Marks finished tasks as known to the state service; their attempts need not be kept any more.
    */
   void finishedTasksSaved(Job job, BitSet tasks) {
-    job.savedFinishedTasks.or(tasks);
+    job.finishedTasksSaved(tasks);
     if (!job.hasUnsavedTasks()) {
       unsavedJobs.remove(job);
     }
   }
 
-  /** Jobs with finished tasks that the state service does not know of yet. */
+  /** Jobs with finished tasks that the state service does not know of yet; a live view. */
   Set<Job> unsavedJobs() {
     return unsavedJobs;
   }
 
-  /** Jobs with tasks that are placed, and go out once it is written down that they may have. */
+  /** Jobs with placed tasks that are launched once a higher launch watermark is written. */
   Set<Job> awaitingLaunchWatermark() {
     return awaitingLaunchWatermark;
   }
 
   /** The state service knows that tasks of the job up to this one may have been launched. */
-  void launchWatermarkSaved(Job job, int launchMark) {
-    job.launchWatermark = Math.max(job.launchWatermark, launchMark);
-    if (job.launchWatermark >= job.requestedLaunchWatermark) {
+  void launchWatermarkSaved(Job job, int watermark) {
+    if (job.launchWatermarkSaved(watermark)) {
       awaitingLaunchWatermark.remove(job);
     }
   }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -1,135 +1,107 @@
 package org.saffronshore.cluster;
 
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.Collection;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings.Address;
 import org.saffronshore.fleet.MachineKind;
 import org.saffronshore.scheduling.MachineView;
-import org.saffronshore.wire.Heartbeat;
-import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.TaskId;
-
-/** A rented machine as the leader knows it. */
+import org.saffronshore.scheduling.PlacedTask;
+import org.saffronshore.scheduling.Resources;
+import org.saffronshore.wire.MachineType;
+
+/**
+ * A rented machine as the leader knows it.
+ *
+ * <p>Its life cycle has no single state, since what is known of it comes from four independent
+ * sources. {@link #isSchedulable} is the one place that combines them. New tasks are placed on a
+ * machine that is, at the same time,
+ *
+ * <ul>
+ *   <li>up: a message of its worker has arrived and its lease has not run out since. A machine that
+ *       is not up is starting, or lost; it may be up again later;
+ *   <li>reconciled: a message has shown this term's fencing token. Once true, it stays so;
+ *   <li>registered, and so not cordoned ({@link RegistryEntry});
+ * </ul>
+ *
+ * <p>and of which none of these is true:
+ *
+ * <ul>
+ *   <li>failed, returning, draining, or under a preemption notice: it leaves, and nothing undoes
+ *       that;
+ *   <li>quarantined: it failed {@link MachineHealth#MAX_CONSECUTIVE_FAILURES} tasks in a row; a
+ *       task that completes there ends that;
+ *   <li>in backoff, after a refusal or a failure, until a given moment;
+ *   <li>silent: heartbeats that were due have not arrived; the next one ends that;
+ *   <li>unresponsive: heartbeats arrive and commands do not; proof of a command's arrival ends
+ *       that;
+ *   <li>holder of a task of a job that ended before this term, since nobody knows its size.
+ * </ul>
+ */
 public final class Machine {
-  final String id;
-  private final double silentAfterS;
-  String type;
-  String zone;
-  boolean spot;
-  Address address;
-
-  /** Whether its worker has reported to this leader. */
-  boolean up;
-
-  /**
-   * Whether its worker has shown that it knows this leader's token, which shuts earlier leaders
-   * out.
-   */
-  boolean reconciled;
-
-  long epoch;
-  long sequence = -1;
-
-  /** The same of the newest report that the worker sent by itself. */
-  long heartbeatEpoch;
-
-  long heartbeatSequence = -1;
+  private final String id;
 
-  /** Sessions up to this one are over: what they still say is ignored. */
-  long lastExpiredEpoch = -1;
+  // What it is
 
-  /** The last moment at which the worker may have been told that its lease is renewed. */
-  double leaseRenewedAt;
+  private @Nullable String type;
+  private @Nullable String zone;
+  private boolean spot;
+  private @Nullable Address address;
 
-  /** The same before the report that is being taken. */
-  double previousLeaseRenewalAt = Double.NEGATIVE_INFINITY;
+  // Life cycle
 
-  double firstLeaseRenewalAt = Double.NaN;
-  double lastHeardAt = Double.NEGATIVE_INFINITY;
-
-  /**
-   * From when its silence counts: its last own report, its first answer, or when this node could
-   * hear again after a standstill.
-   */
-  double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
-
-  /** Its reports come, but nothing that it is told seems to arrive. */
-  boolean unresponsive;
-
-  double unresponsiveSince;
+  private boolean up;
+  private boolean reconciled;
+  private boolean failed;
+  private boolean returning;
+  private boolean draining;
+  private double preemptedAt = Double.NaN;
 
   /** When the machine was first known to exist. */
-  double existsSince;
-
-  double rentedAt;
-  double upAt = Double.NaN;
-  double idleSince;
-  double preemptionAt = Double.NaN;
-  boolean failed;
-  boolean returning;
+  private double existsSince;
 
-  /** Its tasks are moved elsewhere, so that it can be returned. */
-  boolean draining;
+  private double rentedAt;
+  private double firstUpAt = Double.NaN;
 
-  boolean registered;
+  private final MachineHealth health;
+  private final WorkerEpochs epochs = new WorkerEpochs();
+  private final WorkerLease lease = new WorkerLease();
+  private final RegistryEntry registryEntry = new RegistryEntry();
+  private final PossibleTasks possibleTasks = new PossibleTasks();
+  private final CommandDelivery delivery = new CommandDelivery();
+  private final ImageCache images = new ImageCache();
 
-  /** The registry says, or is to say, what it holds: it gets nothing new. */
-  boolean cordoned;
+  private final MachineTasks tasks;
 
-  /** All that an earlier leader can have left on it, or null when that may be anything. */
-  Set<TaskId> possibleTasks;
-
-  /** What those among them take whose jobs were called off in this term. */
-  final Map<TaskId, JobSpec> possibleTasksOfEndedJobs = new HashMap<>();
-
-  boolean registryWriteInFlight;
-  int consecutiveFailures;
-  double backoffUntil = Double.NEGATIVE_INFINITY;
-  boolean commandInFlight;
-  int failedCommands;
-  double nextCommandAt = Double.NEGATIVE_INFINITY;
-  final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
-
-  /** Attempts that are over but still in the worker's reports. */
-  final Map<TaskId, Attempt> exited = new LinkedHashMap<>();
-
-  /** What the cycle sees of it; null when something that it shows has changed. */
-  MachineView cachedView;
-
-  /** The tasks of the last report, as long as nothing else has happened to them since. */
-  List<Heartbeat.TaskStatus> lastAppliedTasks;
-
-  private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+  /** What the scheduling cycle sees of it; null when something that it shows has changed. */
+  private @Nullable MachineView cachedView;
 
   /**
-   * @param silentAfterS after this time without a report it gets no more work
+   * @param silentAfterS after this time without a heartbeat it gets no more tasks
    */
   Machine(String id, double silentAfterS, double now) {
     this.id = id;
-    this.silentAfterS = silentAfterS;
+    this.health = new MachineHealth(silentAfterS);
+    this.tasks = new MachineTasks(now);
     this.existsSince = now;
     this.rentedAt = now;
-    this.idleSince = now;
   }
 
   public String id() {
     return id;
   }
 
+  /** Type, zone and whether it is a spot machine. */
   public MachineKind kind() {
     return new MachineKind(type, zone, spot);
   }
 
-  public String type() {
+  /** The name of its type; null as long as neither the cloud nor the worker has told it. */
+  public @Nullable String type() {
     return type;
   }
 
-  public String zone() {
+  /** Null as long as neither the cloud nor the worker has told it. */
+  public @Nullable String zone() {
     return zone;
   }
 
@@ -137,160 +109,262 @@
     return spot;
   }
 
-  public Address address() {
+  /** Where its worker receives commands; null as long as that is not known. */
+  public @Nullable Address address() {
     return address;
   }
 
+  void describe(String newType, String newZone, boolean newSpot) {
+    type = newType;
+    zone = newZone;
+    spot = newSpot;
+  }
+
+  void setAddress(Address newAddress) {
+    address = newAddress;
+  }
+
+  // Life cycle
+
+  /** Whether new tasks may be placed on it. */
+  public boolean isSchedulable(double now) {
+    return up
+        && reconciled
+        && registryEntry.isRegistered()
+        && !returning
+        && !draining
+        && !failed
+        && !hasPreemptionNotice()
+        && !health.isQuarantined()
+        && !health.isInBackoff(now)
+        && !health.isSilent(now)
+        && !health.isUnresponsive()
+        && !tasks.hasUnknown();
+  }
+
+  /** Whether the machine can be counted on for later: it works, stays, and is heard. */
+  boolean isReliable(double now) {
+    boolean leaving = failed || returning || hasPreemptionNotice();
+    boolean neverReconciled = up && !reconciled && health.isSilent(now);
+    boolean faulty = health.isQuarantined() || health.isUnresponsive() || neverReconciled;
+    return !leaving && !faulty;
+  }
+
+  /** Whether a message of its worker has arrived, and its lease has not run out since. */
   public boolean isUp() {
     return up;
   }
 
+  public boolean wasEverUp() {
+    return !Double.isNaN(firstUpAt);
+  }
+
+  void markUp(double now) {
+    up = true;
+    firstUpAt = Double.isNaN(firstUpAt) ? now : firstUpAt;
+    tasks.countIdleFrom(now);
+  }
+
+  /** Its worker's lease must have run out: messages of its epoch are ignored from now on. */
+  void leaseExpired() {
+    epochs.expire();
+    up = false;
+  }
+
   public boolean isReconciled() {
     return reconciled;
   }
 
+  /** Its worker has shown this term's fencing token, and so rejects earlier leaders. */
+  void reconcile() {
+    reconciled = true;
+  }
+
+  public boolean hasFailed() {
+    return failed;
+  }
+
+  /** The cloud says that it has failed: it has stopped, and never runs again. */
+  void markFailed() {
+    failed = true;
+  }
+
   public boolean isReturning() {
     return returning;
   }
 
+  void markReturning() {
+    returning = true;
+  }
+
   public boolean isDraining() {
     return draining;
   }
 
-  public int taskCount() {
-    return attempts.size();
+  /** Its tasks are moved elsewhere, so that it can be returned. */
+  void markDraining() {
+    draining = true;
   }
 
-  public double usedCpus() {
-    return attempts.values().stream().mapToDouble(a -> a.job == null ? 0 : a.job.cpus()).sum();
+  public boolean hasPreemptionNotice() {
+    return !Double.isNaN(preemptedAt);
   }
 
-  public boolean hasFailed() {
-    return failed;
+  void preemptionNoticed(double moment) {
+    preemptedAt = moment;
+  }
+
+  /** Heartbeats, commands and failures: what it can be trusted with. */
+  MachineHealth health() {
+    return health;
+  }
+
+  void markUnresponsive(double now) {
+    health.markUnresponsive(now);
+    invalidateView();
   }
 
   /** Whether it failed too many tasks in a row to be given more. */
   public boolean isQuarantined() {
-    return consecutiveFailures >= Cluster.MAX_CONSECUTIVE_FAILURES;
+    return health.isQuarantined();
   }
 
-  public boolean wasEverUp() {
-    return !Double.isNaN(upAt);
+  double existsSince() {
+    return existsSince;
+  }
+
+  /** It is known to have existed at this moment. */
+  void existedAt(double moment) {
+    existsSince = Math.min(existsSince, moment);
   }
 
   public double rentedAt() {
     return rentedAt;
   }
 
+  void rentedAt(double moment) {
+    rentedAt = moment;
+  }
+
+  /** Since when it has had no attempts; infinity while it has some. */
   public double idleSince() {
-    return idleSince;
+    return tasks.idleSince();
   }
 
-  public boolean hasPreemptionNotice() {
-    return !Double.isNaN(preemptionAt);
+  // What is known of its worker
+
+  WorkerEpochs epochs() {
+    return epochs;
   }
 
-  public Iterable<Attempt> attempts() {
-    return attempts.values();
+  WorkerLease lease() {
+    return lease;
   }
 
-  public boolean isEmpty() {
-    return attempts.isEmpty();
+  RegistryEntry registryEntry() {
+    return registryEntry;
   }
 
-  /** Whether new tasks may be put here. */
-  public boolean isSchedulable(double now) {
-    return up
-        && reconciled
-        && registered
-        && !returning
-        && !draining
-        && !failed
-        && !hasPreemptionNotice()
-        && !isQuarantined()
-        && now >= backoffUntil
-        && !isSilent(now)
-        && !unresponsive
-        && !hasUnknownTasks();
+  PossibleTasks possibleTasks() {
+    return possibleTasks;
   }
 
-  /** Whether the machine can be counted on for later: it works, stays, and is heard. */
-  boolean isReliable(double now) {
-    boolean leaving = failed || returning || hasPreemptionNotice();
-    boolean faulty = isQuarantined() || unresponsive || (up && !reconciled && isSilent(now));
-    return !leaving && !faulty;
+  CommandDelivery delivery() {
+    return delivery;
   }
 
-  /** Whether reports that were due have not come: it may hang, or be cut off. */
-  boolean isSilent(double now) {
-    return now > lastHeartbeatAt + silentAfterS;
+  ImageCache images() {
+    return images;
   }
 
-  private boolean hasUnknownTasks() {
-    for (Attempt a : attempts.values()) {
-      if (a.job == null) {
-        return true;
-      }
-    }
-    return false;
+  // Its tasks
+
+  MachineTasks tasks() {
+    return tasks;
   }
 
-  /** Whether a task may not be put here, since a trace of it is still on the machine. */
-  boolean hasTraceOf(TaskId task) {
-    return attempts.containsKey(task) || exited.containsKey(task);
+  /** What is, or may be, on it in this moment; a live view. */
+  public Collection<Attempt> attempts() {
+    return tasks.attempts();
   }
 
-  Set<String> images() {
-    return images.keySet();
+  public int taskCount() {
+    return tasks.attempts().size();
   }
 
-  void recordImageUse(String image, double gb, double cacheGb) {
-    images.put(image, gb);
-    double sum = 0;
-    for (double size : images.values()) {
-      sum += size;
-    }
-    var oldest = images.entrySet().iterator();
-    while (sum > cacheGb && oldest.hasNext()) {
-      var entry = oldest.next();
-      if (!entry.getKey().equals(image)) {
-        sum -= entry.getValue();
-        oldest.remove();
-      }
-    }
+  public boolean isEmpty() {
+    return tasks.attempts().isEmpty();
   }
 
-  /** What was known of its tasks has changed other than by a report. */
-  void invalidateView() {
-    cachedView = null;
-    lastAppliedTasks = null;
+  /** CPUs of its attempts as far as their sizes are known. */
+  public double usedCpus() {
+    return tasks.attempts().stream()
+        .map(Attempt::job)
+        .mapToDouble(job -> job == null ? 0 : job.cpus())
+        .sum();
   }
 
-  /** Whether an earlier leader can have left one of these tasks of a job here. */
-  boolean mayHoldAny(Job job, BitSet tasks) {
-    String id = job.spec.id();
-    return possibleTasks == null
-        || possibleTasks.stream().anyMatch(t -> t.job().equals(id) && tasks.get(t.index()));
+  /** An attempt is decided: the machine is idle no more. */
+  void placeAttempt(Attempt attempt) {
+    tasks.place(attempt);
+    invalidateView();
   }
 
-  /**
-   * A job is over. What an earlier leader may have left of it here may still run, but for tasks
-   * that are done.
-   */
-  void jobEnded(Job job) {
-    if (possibleTasks == null) {
-      return;
-    }
-    String id = job.spec.id();
-    possibleTasks.removeIf(task -> task.job().equals(id) && job.finishedTasks.get(task.index()));
-    for (TaskId task : possibleTasks) {
-      if (task.job().equals(id)) {
-        possibleTasksOfEndedJobs.put(task, job.spec);
+  /** The worker shows an attempt that this leader did not know; what it replaces, or null. */
+  @Nullable Attempt adoptAttempt(Attempt attempt) {
+    invalidateView();
+    return tasks.adopt(attempt);
+  }
+
+  /** Nothing of the attempt is here any more. */
+  void removeAttempt(Attempt attempt, double now) {
+    invalidateView();
+    tasks.remove(attempt, now);
+  }
+
+  /** Nothing runs on it any more, and its worker keeps no exited attempts. */
+  void release(double now) {
+    tasks.clearExited();
+    tasks.countIdleFrom(now);
+  }
+
+  /** The worker has begun another epoch, and kept nothing from the one before. */
+  void clearExited() {
+    tasks.clearExited();
+    invalidateView();
+  }
+
+  // What others see of it
+
+  /** What the scheduling cycle sees of it, made anew only after something of it has changed. */
+  MachineView view(MachineType machineType) {
+    MachineView view = cachedView;
+    if (view == null || view.isModified()) {
+      view =
+          new MachineView(
+              id, kind(), Resources.capacityOf(machineType), tasks::hasTraceOf, images.images());
+      for (Attempt attempt : tasks.attempts()) {
+        view.add(
+            new PlacedTask(
+                attempt.task(),
+                attempt.job(),
+                attempt.stopping(),
+                attempt.runningSince(),
+                attempt.isExemptFromPreemption()));
       }
+      cachedView = view;
     }
+    return view;
   }
 
-  List<Attempt> allAttempts() {
-    return new ArrayList<>(attempts.values());
+  /** What is known of its tasks has changed other than by a heartbeat. */
+  void invalidateView() {
+    cachedView = null;
+    tasks.forgetApplied();
+  }
+
+  /** The tasks of a heartbeat are about to be applied. */
+  void applyingTasks() {
+    cachedView = null;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/MachineRegistry.java
+++ b/src/main/java/org/saffronshore/cluster/MachineRegistry.java
@@ -7,80 +7,87 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * What is to be written down about machines for the next leader. A machine gets tasks only while it
- * is known to stand there as one that may hold anything.
+ * What is to be written about machines for the next leader. Tasks are placed on a machine only
+ * while its entry is known to say that it may hold anything.
  */
 public final class MachineRegistry {
-  private final Cluster cluster;
   private final EventLoop loop;
+  private final MachineTable machines;
+
+  /** What to do when something has happened that may let a task be placed. */
+  private final Runnable onChange;
+
   private final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
-  private final Set<Machine> toCordon = new LinkedHashSet<>();
+  private final Set<Machine> newlyCordonedMachines = new LinkedHashSet<>();
   private final Set<String> removedMachines = new LinkedHashSet<>();
 
-  MachineRegistry(Cluster cluster, EventLoop loop) {
-    this.cluster = cluster;
+  MachineRegistry(EventLoop loop, MachineTable machines, Runnable onChange) {
     this.loop = loop;
+    this.machines = machines;
+    this.onChange = onChange;
   }
 
-  /** The machine is ready for tasks but for its place. */
-  void register(Machine m) {
-    m.cordoned = false;
-    unregisteredMachines.add(m);
+  /** The machine is ready for tasks except for its entry. */
+  void register(Machine machine) {
+    machine.registryEntry().uncordon();
+    unregisteredMachines.add(machine);
   }
 
-  void machineRemoved(Machine m) {
-    if (m.registered || m.registryWriteInFlight) {
-      removedMachines.add(m.id);
+  void machineRemoved(Machine machine) {
+    if (machine.registryEntry().mayExist()) {
+      removedMachines.add(machine.id());
     }
   }
 
   /** Whether there is anything to be written. */
   public boolean hasPendingWrites() {
-    return !unregisteredMachines.isEmpty() || !removedMachines.isEmpty() || !toCordon.isEmpty();
+    return !unregisteredMachines.isEmpty()
+        || !removedMachines.isEmpty()
+        || !newlyCordonedMachines.isEmpty();
   }
 
-  /** Machines that are gone for good: no later leader needs to account for them. */
+  /** Machines that do not exist any more, whose entries are to be removed; a live view. */
   public Set<String> removedMachines() {
     return removedMachines;
   }
 
-  /**
-   * Gives machines whose reports have stopped nothing more, so that what they hold can be written
-   * down.
-   */
+  /** Cordons silent machines, so that what they hold at most can be written. */
   public void cordonSilent() {
     double now = loop.now();
-    for (Machine m : cluster.machines()) {
-      if (m.up && m.reconciled && m.registered && m.isSilent(now)) {
-        m.registered = false;
-        m.cordoned = true;
-        m.registryWriteInFlight = true;
-        toCordon.add(m);
+    for (Machine machine : machines.all()) {
+      if (machine.isUp()
+          && machine.isReconciled()
+          && machine.registryEntry().isRegistered()
+          && machine.health().isSilent(now)) {
+        machine.registryEntry().cordon();
+        newlyCordonedMachines.add(machine);
       }
     }
   }
 
-  /** Machines of which it is to be written down what they hold. */
+  /** Takes the machines whose entries are to say what they hold at most. */
   public List<Machine> takeCordonedMachines() {
-    List<Machine> all =
-        toCordon.stream().filter(m -> m.cordoned && cluster.machine(m.id) == m).toList();
-    toCordon.clear();
-    return all;
+    List<Machine> cordoned =
+        newlyCordonedMachines.stream()
+            .filter(machine -> machine.registryEntry().isCordoned() && machines.contains(machine))
+            .toList();
+    newlyCordonedMachines.clear();
+    return cordoned;
   }
 
-  /** Machines that are ready for tasks but for their place. */
+  /** Machines that are ready for tasks except for their entries, which are written from now on. */
   public List<Machine> unregisteredMachines() {
-    unregisteredMachines.removeIf(m -> cluster.machine(m.id) != m);
-    unregisteredMachines.forEach(m -> m.registryWriteInFlight = true);
+    unregisteredMachines.removeIf(machine -> !machines.contains(machine));
+    unregisteredMachines.forEach(machine -> machine.registryEntry().writeStarted());
     return new ArrayList<>(unregisteredMachines);
   }
 
-  /** The state service has confirmed their places. */
-  public void markRegistered(List<Machine> added) {
-    for (Machine m : added) {
-      m.registered = true;
-      unregisteredMachines.remove(m);
+  /** The state service has confirmed their entries. */
+  public void markRegistered(List<Machine> registered) {
+    for (Machine machine : registered) {
+      machine.registryEntry().writeConfirmed();
+      unregisteredMachines.remove(machine);
     }
-    cluster.markChanged();
+    onChange.run();
   }
 }
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -1,252 +1,128 @@
 package org.saffronshore.cluster;
 
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.Map;
-import java.util.Set;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings;
-import org.saffronshore.config.Settings.Address;
 import org.saffronshore.http.EventLoop;
-import org.saffronshore.wire.InvalidFieldException;
-import org.saffronshore.wire.TaskId;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.saffronshore.wire.MachineType;
 
 /**
- * The machines of one term: which there are, which may hold tasks of earlier terms and have not
- * been heard, and which are gone or count as lost.
+ * The machines of one term, those that were removed, and the machine types of the cloud. What
+ * changes a machine's life cycle is done by {@link MachineLifecycle}.
  */
 final class MachineTable {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineTable.class);
+  /** A machine counts as silent when so many heartbeat intervals have passed without one. */
+  private static final double SILENT_AFTER_INTERVALS = 1.4;
 
-  /** A machine counts as silent when it has let this many reports be missed. */
-  private static final double MISSED_REPORTS = 1.4;
+  /** Heartbeats of removed machines may come late, but not by so many leases. */
+  private static final double REMOVED_LEASES = 20;
 
-  /** Reports of machines that are gone may come late, but not by so many leases. */
-  private static final double GONE_LEASES = 20;
-
-  private final Cluster cluster;
   private final EventLoop loop;
   private final Settings settings;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Since when machines are gone; the longest ago first. */
+  /** When machines were removed; the longest ago first. */
   private final Map<String, Double> removedAt = new LinkedHashMap<>();
 
-  /** Machines that may hold tasks of earlier terms and have not been heard in this one. */
-  private final Set<Machine> unreconciled = new LinkedHashSet<>();
+  private Map<String, MachineType> types = Map.of();
 
-  /** This node has not stood still since then. */
+  /** This controller has not paused since then. */
   private double resumedAt;
 
-  MachineTable(Cluster cluster, EventLoop loop, Settings settings) {
-    this.cluster = cluster;
+  MachineTable(EventLoop loop, Settings settings) {
     this.loop = loop;
     this.settings = settings;
     this.resumedAt = loop.now();
   }
 
+  /** A live view. */
   Collection<Machine> all() {
     return machines.values();
   }
 
-  Machine get(String id) {
+  @Nullable Machine get(String id) {
     return machines.get(id);
   }
 
-  boolean isRemoved(String id) {
-    return removedAt.containsKey(id);
-  }
-
-  Set<Machine> unreconciled() {
-    return unreconciled;
+  /** Whether the table has this very machine, which was not removed meanwhile. */
+  boolean contains(Machine machine) {
+    return machines.get(machine.id()) == machine;
   }
 
   Machine getOrCreate(String id) {
-    return machines.computeIfAbsent(
-        id, m -> new Machine(m, MISSED_REPORTS * settings.heartbeatIntervalS(), loop.now()));
-  }
-
-  /**
-   * A machine that an earlier leader gave tasks to, or may have. The longer ago it is sure to have
-   * existed, the sooner a list of the cloud that lacks it proves that it is gone.
-   *
-   * @param held all that it can hold, or null when that may be anything
-   */
-  void addRegistered(String id, double ageS, Set<TaskId> held) {
-    Machine m = getOrCreate(id);
-    m.registered = held == null;
-    m.cordoned = held != null;
-    m.registryWriteInFlight = true;
-    m.possibleTasks = held == null ? null : new HashSet<>(held);
-    m.existsSince = Math.min(m.existsSince, loop.now() - Math.max(0, ageS));
-    LOG.debug(
-        "machine {} is registered since {} s, and holds at most: {}",
-        id,
-        Math.round(ageS),
-        held == null ? "anything" : held);
-    if (!m.reconciled) {
-      m.leaseRenewedAt = Math.max(m.leaseRenewedAt, cluster.startedAt());
-      unreconciled.add(m);
-      cluster.commandsDue(m);
+    Machine machine = machines.get(id);
+    if (machine == null) {
+      double silentAfterS = SILENT_AFTER_INTERVALS * settings.heartbeatIntervalS();
+      machine = new Machine(id, silentAfterS, loop.now());
+      machines.put(id, machine);
     }
+    return machine;
   }
 
-  /** The cloud has answered a rental request with this machine. */
-  void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
-    if (removedAt.containsKey(id)) {
-      return;
-    }
-    Machine m = getOrCreate(id);
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
-    m.rentedAt = requestedAt;
-  }
-
-  /** One line of the cloud's list. */
-  void machineListed(
-      String id,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      boolean failed,
-      double ageS) {
-    if (removedAt.containsKey(id)) {
-      return;
-    }
-    Machine m = machines.get(id);
-    if (m == null) {
-      m = getOrCreate(id);
-      m.rentedAt = loop.now() - ageS;
-      LOG.debug(
-          "machine {} ({} in {}, spot {}) is in the cloud's list, and was not known",
-          id,
-          type,
-          zone,
-          spot);
-    }
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
-    setAddress(m, address);
-    if (unreconciled.contains(m) && !m.up) {
-      cluster.commandsDue(m);
-    }
-    if (failed && !m.failed) {
-      // A failed machine has stopped of its own accord: nothing on it runs, now or later.
-      LOG.debug("machine {} has failed, says the cloud", id);
-      m.failed = true;
-      release(m);
-    }
+  /** Whether the machine was removed: its heartbeats are late ones. */
+  boolean isRemoved(String id) {
+    return removedAt.containsKey(id);
   }
 
-  /**
-   * Drops what a complete list of the cloud lacks. A list may be up to twice the usual delay old,
-   * and older than the one before it, so only machines that were known well before the request can
-   * be told to be gone.
-   */
-  void removeUnlisted(Set<String> ids, double requestedAt) {
-    double before =
-        requestedAt
-            - Settings.maxLocalDuration(
-                2.25 * settings.cloudListLagS() + settings.heartbeatIntervalS());
-    for (Machine m : new ArrayList<>(machines.values())) {
-      if (!ids.contains(m.id) && m.existsSince < before) {
-        machineRemoved(m, "the cloud does not list it any more");
-      }
-    }
+  void remove(Machine machine) {
+    double now = loop.now();
+    machines.remove(machine.id());
+    removedAt.put(machine.id(), now);
+    removedAt.values().removeIf(moment -> moment < now - REMOVED_LEASES * settings.workerLeaseS());
   }
 
-  /** The machine does not exist any more, and nothing on it. */
-  void machineRemoved(Machine m, String why) {
-    LOG.debug("machine {} is gone: {}; it held {}", m.id, why, m.attempts.keySet());
-    release(m);
-    machines.remove(m.id);
-    removedAt.put(m.id, loop.now());
-    cluster.registry().machineRemoved(m);
-    removedAt
-        .values()
-        .removeIf(since -> since < loop.now() - GONE_LEASES * settings.workerLeaseS());
-  }
+  // Machine types
 
-  private void release(Machine m) {
-    for (Attempt a : m.allAttempts()) {
-      cluster.endAttempt(a);
-    }
-    m.exited.clear();
-    m.idleSince = loop.now();
-    unreconciled.remove(m);
-    cluster.markChanged();
+  Map<String, MachineType> types() {
+    return types;
   }
 
-  /** The cloud has been asked to take the machine back: nothing new may start there. */
-  void markReturning(Machine m) {
-    m.returning = true;
-    cluster.markChanged();
+  /** Null as long as the machine's type, or all types, are not known. */
+  @Nullable MachineType typeOf(Machine machine) {
+    String type = machine.type();
+    return type == null ? null : types.get(type);
   }
 
-  /**
-   * Ends every machine whose lease must have run out since the last answer that it can have had.
-   */
-  void expireLeases() {
-    double now = loop.now();
-    for (Machine m : machines.values()) {
-      boolean addPossiblyHeld = m.up || unreconciled.contains(m);
-      if (addPossiblyHeld
-          && now
-              > m.leaseRenewedAt
-                  + Settings.maxLocalDuration(settings.workerLeaseS())
-                  + settings.heartbeatIntervalS() / 30) {
-        LOG.debug(
-            "machine {} counts as lost: nothing heard, and its lease is over; it held {}",
-            m.id,
-            m.attempts.keySet());
-        m.lastExpiredEpoch = Math.max(m.lastExpiredEpoch, m.epoch);
-        m.up = false;
-        release(m);
-      }
+  /** Takes the cloud's current machine types; false when they are the same as before. */
+  boolean updateTypes(Map<String, MachineType> newTypes) {
+    if (newTypes.equals(types)) {
+      return false;
     }
+    types = newTypes;
+    machines.values().forEach(Machine::invalidateView);
+    return true;
   }
 
+  // Silence
+
   /**
-   * This node stood still until now. What it did not hear meanwhile is no machine's fault: hundreds
-   * would be taken for silent or deaf at once. Leases run on, since they count from what the
-   * machines were told.
+   * This controller has paused until now. That it received nothing meanwhile is no machine's fault:
+   * hundreds would count as silent or unresponsive at once. Leases run on, since they count from
+   * the responses that the machines may have received.
    */
   void onProcessPause() {
     resumedAt = loop.now();
-    machines.values().forEach(m -> m.lastHeartbeatAt = resumedAt);
+    machines.values().forEach(machine -> machine.health().countSilenceFrom(resumedAt));
   }
 
-  double resumedAt() {
-    return resumedAt;
+  /** For how long it could have received messages, since a moment: not while it paused. */
+  double listeningTimeSince(double moment) {
+    return loop.now() - Math.max(moment, resumedAt);
   }
 
-  /** Whether most machines that are up have not been heard for a while. */
-  boolean isMostlySilent(double forS) {
+  /** Whether most machines that are up have been silent for a while. */
+  boolean isMostlySilent(double durationS) {
+    double now = loop.now();
     int up = 0;
     int silent = 0;
-    for (Machine m : machines.values()) {
-      if (m.up) {
+    for (Machine machine : machines.values()) {
+      if (machine.isUp()) {
         up++;
-        silent += loop.now() > m.lastHeartbeatAt + forS ? 1 : 0;
+        silent += machine.health().isSilentFor(durationS, now) ? 1 : 0;
       }
     }
     return silent * 2 > up;
   }
-
-  static void setAddress(Machine m, String address) {
-    if (m.address == null && address != null) {
-      try {
-        m.address = Address.parse("Address", address);
-      } catch (InvalidFieldException e) {
-        LOG.warn("machine {} has no usable address: {}", m.id, e.getMessage());
-      }
-    }
-  }
 }
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -16,111 +16,143 @@
  * What each team may be using: the one place that says so, for everything that starts a task.
  *
  * <p>Invariant: what counts against a team's limit is at no moment less than what its tasks take on
- * all machines, launches under way included. To keep it, every machine is counted by itself and the
+ * all machines, launches in flight included. To keep it, every machine is counted by itself and the
  * machines are added up; what may be on one machine never stands for what may be on another one:
  *
  * <ul>
- *   <li>a task that a report has shown, or that this term launches, counts for its team;
- *   <li>of a machine not accounted for, of which it is written down what it holds, the tasks that
- *       are written down count for their teams, also when their job was cancelled meanwhile;
+ *   <li>a task that a heartbeat has shown, or that this term launches, counts for its team;
+ *   <li>of an unreconciled machine whose registry entry names its possible tasks, these count for
+ *       their teams, also when their job was cancelled meanwhile;
  *   <li>where a task is of a job that was over before this term began, nobody knows its team or its
  *       size: what the machine has beside its known tasks counts for every team;
- *   <li>a machine not accounted for that may hold anything counts for every team.
+ *   <li>an unreconciled machine that may hold anything counts for every team.
  * </ul>
  */
 final class QuotaAccounting {
-  private final Cluster cluster;
+  private final JobTable jobs;
+  private final MachineTable machines;
+  private final Reconciliation reconciliation;
   private final Map<String, Team> teams;
   private final SchedulingSettings tuning;
 
   /** What tasks of unknown teams may take. */
-  private final Resources unknown = new Resources(0, 0, 0);
+  private final Resources ofUnknownTeams = none();
 
-  /** All machines that may hold anything. */
-  private final Resources unlisted = new Resources(0, 0, 0);
+  /** All of the machines that may hold anything. */
+  private final Resources ofMachinesWithAnything = none();
 
-  /** Written down, not seen anywhere and not done: by team, of open jobs and of ended ones. */
-  private final Map<String, Resources> listedOpen = new HashMap<>();
+  /** By team, possible tasks of open jobs that no heartbeat has shown and that are not finished. */
+  private final Map<String, Resources> possibleOfOpenJobs = new HashMap<>();
 
-  private final Map<String, Resources> listedEnded = new HashMap<>();
+  /** The same of jobs that ended in this term. */
+  private final Map<String, Resources> possibleOfEndedJobs = new HashMap<>();
 
-  /** Tasks that are counted already; two records may name the same one. */
-  private final Set<TaskId> listed = new HashSet<>();
+  /** Possible tasks that are counted already; two registry entries may name the same one. */
+  private final Set<TaskId> countedPossibleTasks = new HashSet<>();
 
-  private QuotaAccounting(Cluster cluster, Map<String, Team> teams, SchedulingSettings tuning) {
-    this.cluster = cluster;
+  private QuotaAccounting(
+      JobTable jobs,
+      MachineTable machines,
+      Reconciliation reconciliation,
+      Map<String, Team> teams,
+      SchedulingSettings tuning) {
+    this.jobs = jobs;
+    this.machines = machines;
+    this.reconciliation = reconciliation;
     this.teams = teams;
     this.tuning = tuning;
   }
 
   /** Counts into the teams, which nothing was counted into before. */
-  static void count(Cluster cluster, Map<String, Team> teams, SchedulingSettings tuning) {
-    QuotaAccounting usage = new QuotaAccounting(cluster, teams, tuning);
-    cluster.machines().forEach(usage::addAttempts);
-    cluster.unreconciled().forEach(usage::addUnaccounted);
+  static void count(
+      JobTable jobs,
+      MachineTable machines,
+      Reconciliation reconciliation,
+      Map<String, Team> teams,
+      SchedulingSettings tuning) {
+    QuotaAccounting usage = new QuotaAccounting(jobs, machines, reconciliation, teams, tuning);
+    machines.all().forEach(usage::addAttempts);
+    reconciliation.machines().forEach(usage::addPossibleTasks);
     usage.addTotals();
   }
 
-  private void addAttempts(Machine m) {
+  private static Resources none() {
+    return new Resources(0, 0, 0);
+  }
+
+  private void addAttempts(Machine machine) {
     boolean allKnown = true;
-    for (Attempt a : m.attempts.values()) {
-      allKnown &= a.job != null;
-      Team team = a.job == null ? null : teams.get(a.job.team());
+    for (Attempt attempt : machine.attempts()) {
+      JobSpec job = attempt.job();
+      if (job == null) {
+        allKnown = false;
+        continue;
+      }
+      Team team = teams.get(job.team());
       if (team != null) {
-        team.use(a.job, tuning);
-        if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.CHECKPOINTING) {
-          team.addRunning(a.job);
+        team.use(job, tuning);
+        if (attempt.isRunningOrCheckpointing()) {
+          team.addRunning(job);
         }
       }
     }
     if (!allKnown) {
-      Resources room = capacity(m);
-      m.attempts.values().stream().filter(a -> a.job != null).forEach(a -> room.subtract(a.job));
-      addUnknown(room);
+      addUnknown(capacityBesideKnownAttempts(machine));
+    }
+  }
+
+  private Resources capacityBesideKnownAttempts(Machine machine) {
+    Resources capacity = capacity(machine);
+    for (Attempt attempt : machine.attempts()) {
+      JobSpec job = attempt.job();
+      if (job != null) {
+        capacity.subtract(job);
+      }
     }
+    return capacity;
   }
 
-  private void addUnaccounted(Machine m) {
-    Resources room = capacity(m);
-    if (m.possibleTasks == null) {
-      unlisted.add(room);
+  private void addPossibleTasks(Machine machine) {
+    Resources remaining = capacity(machine);
+    if (machine.possibleTasks().isAnything()) {
+      ofMachinesWithAnything.add(remaining);
       return;
     }
     boolean allKnown = true;
-    for (TaskId task : m.possibleTasks) {
-      Job job = cluster.job(task.job());
-      JobSpec spec = job != null ? job.spec : m.possibleTasksOfEndedJobs.get(task);
+    for (TaskId task : machine.possibleTasks().named()) {
+      Job job = jobs.get(task.job());
+      JobSpec spec = job != null ? job.spec() : machine.possibleTasks().specOfEndedJob(task);
       if (spec == null) {
         allKnown = false;
         continue;
       }
-      room.subtract(spec);
-      // One that is done, or seen on a machine, and that there only, is counted there if anywhere.
-      boolean mayBeHere = job == null || job.waitingTasks.get(task.index());
-      if (mayBeHere && listed.add(task)) {
-        (job == null ? listedEnded : listedOpen)
-            .computeIfAbsent(spec.team(), t -> new Resources(0, 0, 0))
+      remaining.subtract(spec);
+      // One that is finished, or shown by another machine, is counted there if anywhere.
+      boolean mayBeHere = job == null || job.isWaiting(task.index());
+      if (mayBeHere && countedPossibleTasks.add(task)) {
+        (job == null ? possibleOfEndedJobs : possibleOfOpenJobs)
+            .computeIfAbsent(spec.team(), team -> none())
             .add(spec);
       }
     }
     if (!allKnown) {
-      addUnknown(room);
+      addUnknown(remaining);
     }
   }
 
-  private void addUnknown(Resources room) {
-    unknown.add(new Resources(Math.max(0, room.cpus), Math.max(0, room.gpus), 0));
+  private void addUnknown(Resources remaining) {
+    ofUnknownTeams.add(new Resources(Math.max(0, remaining.cpus), Math.max(0, remaining.gpus), 0));
   }
 
   /** All that a machine has; of one whose type is not known, more than any type has. */
-  private Resources capacity(Machine m) {
-    MachineType type = cluster.typeOf(m);
-    Resources all = new Resources(0, 0, 0);
-    for (MachineType t :
-        type != null ? List.of(type) : List.copyOf(cluster.machineTypes().values())) {
-      all.add(Resources.capacityOf(t));
+  private Resources capacity(Machine machine) {
+    MachineType knownType = machines.typeOf(machine);
+    Resources capacity = none();
+    for (MachineType type :
+        knownType != null ? List.of(knownType) : List.copyOf(machines.types().values())) {
+      capacity.add(Resources.capacityOf(type));
     }
-    return all;
+    return capacity;
   }
 
   /**
@@ -128,35 +160,34 @@
    * open jobs may have launched; the rest counts against its limit only.
    */
   private void addTotals() {
-    Map<String, Resources> launched = launchedUnlisted();
-    Resources none = new Resources(0, 0, 0);
+    Map<String, Resources> launchedUnnamed = launchedUnnamed();
+    Resources none = none();
     teams.forEach(
         (name, team) -> {
-          Resources open = listedOpen.getOrDefault(name, none);
-          Resources ended = listedEnded.getOrDefault(name, none);
-          Resources more = launched.getOrDefault(name, none);
-          double cpus = Math.min(unlisted.cpus, more.cpus);
-          double gpus = Math.min(unlisted.gpus, more.gpus);
+          Resources open = possibleOfOpenJobs.getOrDefault(name, none);
+          Resources ended = possibleOfEndedJobs.getOrDefault(name, none);
+          Resources launched = launchedUnnamed.getOrDefault(name, none);
+          double cpus = Math.min(ofMachinesWithAnything.cpus, launched.cpus);
+          double gpus = Math.min(ofMachinesWithAnything.gpus, launched.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
           team.addPossiblyHeld(
-              ended.cpus + unknown.cpus + unlisted.cpus - cpus,
-              ended.gpus + unknown.gpus + unlisted.gpus - gpus);
+              ended.cpus + ofUnknownTeams.cpus + ofMachinesWithAnything.cpus - cpus,
+              ended.gpus + ofUnknownTeams.gpus + ofMachinesWithAnything.gpus - gpus);
         });
   }
 
-  /** By team, what earlier leaders may have launched and no record of a machine names. */
-  private Map<String, Resources> launchedUnlisted() {
-    Map<String, Integer> listedOfJob = new HashMap<>();
-    listed.forEach(task -> listedOfJob.merge(task.job(), 1, Integer::sum));
+  /** By team, what earlier leaders may have launched and no registry entry names. */
+  private Map<String, Resources> launchedUnnamed() {
+    Map<String, Integer> namedByJob = new HashMap<>();
+    countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
-    for (Job job : cluster.jobs()) {
-      if (cluster.mayRunOnUnreconciled(job)) {
-        int more =
-            job.waitingTasksLaunchedBefore().cardinality()
-                - listedOfJob.getOrDefault(job.spec.id(), 0);
+    for (Job job : jobs.all()) {
+      if (reconciliation.mayRunOnUnreconciled(job)) {
+        int unnamed =
+            job.waitingTasksLaunchedBefore().cardinality() - namedByJob.getOrDefault(job.id(), 0);
         launched
-            .computeIfAbsent(job.spec.team(), t -> new Resources(0, 0, 0))
-            .add(job.spec, Math.max(0, more));
+            .computeIfAbsent(job.spec().team(), team -> none())
+            .add(job.spec(), Math.max(0, unnamed));
       }
     }
     return launched;
--- a/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
+++ b/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
@@ -12,34 +12,48 @@
   /** Owners' estimates are trusted until about this much running time of a class was seen. */
   private static final double PRIOR_RUNS_S = 200;
 
+  /** A task that outlasts its estimate is expected to run on for this part of it. */
+  private static final double OVERRUN_DIVISOR = 5;
+
+  /** What the finished tasks of one class ran, and what their owners had estimated. */
+  private static final class ObservedRuntimes {
+    double actualS;
+    double estimatedS;
+  }
+
+  private final Map<String, ObservedRuntimes> observedByClass = new HashMap<>();
+
   /**
-   * For each class, seconds that finished tasks ran and seconds that their owners had estimated.
+   * How long a task is expected to run on.
+   *
+   * @param runningSince NaN when it does not run yet
    */
-  private final Map<String, double[]> seenRuns = new HashMap<>();
-
-  double remainingRuntimeS(Attempt a, double now) {
-    double whole = expectedRuntimeS(a.job);
-    double spent = Double.isNaN(a.runningSince) ? 0 : now - a.runningSince;
-    // A task that outlasts its estimate is as likely as not to go on for a good part of it.
-    return Math.max(whole - spent, whole / 5);
+  double remainingRuntimeS(JobSpec job, double runningSince, double now) {
+    double expectedS = expectedRuntimeS(job);
+    double spentS = Double.isNaN(runningSince) ? 0 : now - runningSince;
+    return Math.max(expectedS - spentS, expectedS / OVERRUN_DIVISOR);
   }
 
   /**
    * How long a task of a job is expected to run: the owner's estimate, corrected by what its class
    * was seen to take.
    */
-  public double expectedRuntimeS(JobSpec job) {
-    double[] seen = seenRuns.get(job.jobClass());
+  double expectedRuntimeS(JobSpec job) {
+    ObservedRuntimes observed = observedByClass.get(job.jobClass());
     return job.estimatedRuntimeS()
-        * (seen == null ? 1 : (seen[0] + PRIOR_RUNS_S) / (seen[1] + PRIOR_RUNS_S));
+        * (observed == null
+            ? 1
+            : (observed.actualS + PRIOR_RUNS_S) / (observed.estimatedS + PRIOR_RUNS_S));
   }
 
-  /** A task came to its end: what it took says something of others of its class. */
-  void learn(Attempt a, double now) {
-    if (a.job != null && !Double.isNaN(a.runningSince) && a.observedFromStart) {
-      double[] seen = seenRuns.computeIfAbsent(a.job.jobClass(), c -> new double[2]);
-      seen[0] += now - a.runningSince;
-      seen[1] += a.job.estimatedRuntimeS();
+  /** A task has completed: what it took says something of others of its class. */
+  void learn(Attempt attempt, double now) {
+    JobSpec job = attempt.job();
+    if (job != null && !Double.isNaN(attempt.runningSince()) && attempt.wasObservedFromStart()) {
+      ObservedRuntimes observed =
+          observedByClass.computeIfAbsent(job.jobClass(), name -> new ObservedRuntimes());
+      observed.actualS += now - attempt.runningSince();
+      observed.estimatedS += job.estimatedRuntimeS();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
@@ -0,0 +1,234 @@
+package org.saffronshore.cluster;
+
+import java.util.EnumSet;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.jspecify.annotations.Nullable;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.wire.Heartbeat;
+import org.saffronshore.wire.TaskId;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Brings the tasks of a worker's message into the cluster: which run, which are over and why, and
+ * which were launched by an earlier leader or are on two machines.
+ */
+final class TaskStatusReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
+
+  /** Exits that say that the machine did not start the task. */
+  private static final Set<Heartbeat.ExitReason> REFUSALS =
+      EnumSet.of(
+          Heartbeat.ExitReason.INSUFFICIENT_RESOURCES,
+          Heartbeat.ExitReason.ALREADY_RUNNING,
+          Heartbeat.ExitReason.UNKNOWN_TASK);
+
+  /** Heartbeat intervals of backoff for each failure of a machine in a row. */
+  private static final double FAILURE_BACKOFF_INTERVALS = 2;
+
+  private final EventLoop loop;
+  private final Settings settings;
+  private final JobTable jobs;
+  private final AttemptLifecycle attempts;
+  private final RuntimeEstimator runtimeEstimator;
+  private final UnresponsiveMachineDetector unresponsiveMachines;
+
+  /** What to do when something has happened that may let a task be placed. */
+  private final Runnable onChange;
+
+  TaskStatusReconciler(
+      EventLoop loop,
+      Settings settings,
+      JobTable jobs,
+      AttemptLifecycle attempts,
+      RuntimeEstimator runtimeEstimator,
+      UnresponsiveMachineDetector unresponsiveMachines,
+      Runnable onChange) {
+    this.loop = loop;
+    this.settings = settings;
+    this.jobs = jobs;
+    this.attempts = attempts;
+    this.runtimeEstimator = runtimeEstimator;
+    this.unresponsiveMachines = unresponsiveMachines;
+    this.onChange = onChange;
+  }
+
+  /** Takes all tasks of a message that is the newest of its machine. */
+  void apply(Machine machine, List<Heartbeat.TaskStatus> statuses) {
+    machine.applyingTasks();
+    Set<TaskId> shown = new HashSet<>();
+    for (Heartbeat.TaskStatus status : statuses) {
+      shown.add(status.task());
+      apply(machine, status);
+    }
+    for (Attempt attempt : machine.tasks().attemptsCopy()) {
+      if (!shown.contains(attempt.task()) && !attempt.isLaunching()) {
+        attempts.end(attempt);
+      }
+    }
+    machine
+        .tasks()
+        .exited()
+        .removeIf(attempt -> !shown.contains(attempt.task()) && !attempt.launchMayArrive());
+    machine.tasks().applied(statuses);
+  }
+
+  private void apply(Machine machine, Heartbeat.TaskStatus status) {
+    TaskId task = status.task();
+    Job openJob = jobs.get(task.job());
+    Job job = openJob != null && task.index() < openJob.spec().tasks() ? openJob : null;
+    Attempt attempt = machine.tasks().attemptAt(task);
+    if (attempt == null || attempt.number() != status.attempt()) {
+      boolean exited = status.state() == Heartbeat.TaskState.EXITED;
+      if (exited && isKnownExit(machine, status)) {
+        return;
+      }
+      attempt =
+          new Attempt(
+              task, status.attempt(), machine, job == null ? null : job.spec(), loop.now(), false);
+      if (exited) {
+        exited(attempt, status.exitReason(), job);
+        return;
+      }
+      adopt(attempt, job);
+    }
+    if (attempt.isLaunching()) {
+      unresponsiveMachines.markResponsive(machine);
+    }
+    switch (status.state()) {
+      case PULLING_IMAGE -> attempt.pullingImage();
+      case RUNNING -> running(attempt, openJob);
+      case CHECKPOINTING -> attempt.checkpointing();
+      default -> exited(attempt, status.exitReason(), job);
+    }
+  }
+
+  private static boolean isKnownExit(Machine machine, Heartbeat.TaskStatus status) {
+    Attempt known = machine.tasks().exitedAt(status.task());
+    return known != null && known.number() == status.attempt();
+  }
+
+  private void running(Attempt attempt, @Nullable Job job) {
+    if (attempt.state() == Attempt.State.RUNNING) {
+      return;
+    }
+    attempt.running(loop.now(), attempts.isOfThisTerm(attempt));
+    if (job != null) {
+      job.markStarted();
+    }
+    attempts.recordImageUse(attempt);
+  }
+
+  /** An earlier leader has left a task on a machine. */
+  private void adopt(Attempt attempt, @Nullable Job job) {
+    Attempt replaced = attempt.machine().adoptAttempt(attempt);
+    attempt.adopted();
+    if (job == null) {
+      attempts.stopNow(attempt, StopReason.JOB_ENDED);
+      return;
+    }
+    job.addAttempt(attempt);
+    if (replaced != null) {
+      job.removeAttempt(replaced);
+    }
+    if (job.isFinished(attempt.task().index())) {
+      attempts.stopNow(attempt, StopReason.TASK_FINISHED);
+    }
+  }
+
+  /**
+   * Stops what is on two machines. As long as one of them is unreconciled, what it shows may be
+   * over: a late copy of an old heartbeat must not end what truly runs.
+   */
+  void stopDuplicates(Machine machine) {
+    for (Attempt attempt : machine.tasks().attemptsCopy()) {
+      int index = attempt.task().index();
+      Job job = jobs.get(attempt.task().job());
+      if (job == null || job.duplicateAttempts().isEmpty()) {
+        continue;
+      }
+      Attempt kept = job.placedAttemptAt(index);
+      for (Attempt other : job.attemptsAt(index)) {
+        if (kept != null && other != kept && isCertain(other) && isCertain(kept)) {
+          LOG.warn(
+              "Task on two machines: task={} machine={} stopped_machine={} stopped_attempt={}",
+              other.task(),
+              kept.machine().id(),
+              other.machine().id(),
+              other.number());
+          attempts.stopNow(other, StopReason.DUPLICATE);
+        }
+      }
+    }
+  }
+
+  /** Whether it is certain to be on its machine, and is to stay there. */
+  private static boolean isCertain(Attempt attempt) {
+    return attempt.machine().isReconciled() && !attempt.stopping();
+  }
+
+  private void exited(Attempt attempt, Heartbeat.ExitReason reason, @Nullable Job job) {
+    Machine machine = attempt.machine();
+    boolean wasStopping = attempt.stopping();
+    boolean wasOnMachine = attempt.isOnMachine();
+    attempt.exited();
+    machine.tasks().addExited(attempt);
+    onChange.run();
+    if (job != null && reason == Heartbeat.ExitReason.COMPLETED) {
+      completed(attempt, job);
+    }
+    attempts.end(attempt);
+    if (wasOnMachine && reason == Heartbeat.ExitReason.FAILED && !wasStopping && job != null) {
+      failed(attempt, job);
+    } else if (wasOnMachine && REFUSALS.contains(reason)) {
+      LOG.debug(
+          "Task refused: task={} machine={} attempt={} reason={}",
+          attempt.task(),
+          machine.id(),
+          attempt.number(),
+          reason);
+      machine.health().taskRefused(loop.now() + settings.heartbeatIntervalS());
+    }
+  }
+
+  private void completed(Attempt attempt, Job job) {
+    int index = attempt.task().index();
+    attempt.markCompleted();
+    runtimeEstimator.learn(attempt, loop.now());
+    if (job.finishTask(index)) {
+      (job.isComplete() ? jobs.completedJobs() : jobs.unsavedJobs()).add(job);
+      for (Attempt other : job.attemptsAt(index)) {
+        if (other != attempt) {
+          attempts.stopNow(other, StopReason.TASK_FINISHED);
+        }
+      }
+    }
+    job.taskCompleted();
+    attempt.machine().health().taskCompleted();
+  }
+
+  /**
+   * Tells a bad machine, which fails whatever it is given, from a bad job, which fails wherever it
+   * runs.
+   */
+  private void failed(Attempt attempt, Job job) {
+    Machine machine = attempt.machine();
+    double now = loop.now();
+    if (job.taskFailedOn(machine.id())) {
+      // Never for long: it may have been the machines after all, and their trouble may be over.
+      job.backOff(now, settings.heartbeatIntervalS(), settings.workerLeaseS());
+      LOG.info("Job backing off: job={} failed_machines={}", job.id(), job.failedMachineCount());
+      return;
+    }
+    machine.health().taskFailed(now, settings.heartbeatIntervalS() * FAILURE_BACKOFF_INTERVALS);
+    LOG.debug(
+        "Task failed: task={} machine={} attempt={} consecutive_failures={}",
+        attempt.task(),
+        machine.id(),
+        attempt.number(),
+        machine.health().consecutiveFailures());
+  }
+}
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -5,89 +5,110 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds the machines that are heard and yet hear nothing. */
+/** Finds the machines whose heartbeats arrive and that receive nothing. */
 public final class UnresponsiveMachineDetector {
   private static final Logger LOG = LoggerFactory.getLogger(UnresponsiveMachineDetector.class);
 
-  /** A machine that shows no sign of having heard us for so many reports counts as deaf. */
-  private static final double UNRESPONSIVE_REPORTS = 3;
+  /**
+   * A machine that shows no sign of having received anything for so many heartbeat intervals counts
+   * as unresponsive.
+   */
+  private static final double UNRESPONSIVE_INTERVALS = 3;
+
+  /** One that has been unresponsive for so many heartbeat intervals is of no use. */
+  private static final double UNUSABLE_INTERVALS = 2;
 
-  /** When more than this share of the machines seem deaf, it is this node that is not heard. */
-  private static final double UNRESPONSIVE_SHARE = 0.05;
+  /** When more machines than this seem unresponsive, it is this controller that is not heard. */
+  private static final double MAX_UNRESPONSIVE_SHARE = 0.05;
+
+  /** The same where that share is less than one would expect of single faults. */
+  private static final int MIN_UNRESPONSIVE_LIMIT = 2;
 
-  private final Cluster cluster;
   private final EventLoop loop;
   private final Settings settings;
+  private final MachineTable machines;
+  private final CommandQueue commandQueue;
+
+  /** What to do when something has happened that may let a task be placed. */
+  private final Runnable onChange;
 
-  UnresponsiveMachineDetector(Cluster cluster, EventLoop loop, Settings settings) {
-    this.cluster = cluster;
+  UnresponsiveMachineDetector(
+      EventLoop loop,
+      Settings settings,
+      MachineTable machines,
+      CommandQueue commandQueue,
+      Runnable onChange) {
     this.loop = loop;
     this.settings = settings;
+    this.machines = machines;
+    this.commandQueue = commandQueue;
+    this.onChange = onChange;
   }
 
   /**
-   * Looks for machines that report and yet hear nothing: their reports come, but the term's token
-   * does not show, or what they are told does not happen. They get no new work, and are returned.
-   * Their tasks are placed again when the cloud has answered that, or, in the term that started
-   * them, with the machine's next session: launches name the session, so none of ours can arrive in
-   * a later one. A session that is new to this term proves nothing of what earlier leaders did:
-   * they may have known it, and a launch of theirs may still arrive there as long as the machine
-   * has not seen our token. So that is not relied on.
+   * Looks for machines whose heartbeats arrive and that receive nothing: the term's token does not
+   * show, or a launch does not happen. They get no new tasks, and are returned. Their tasks are
+   * placed again when the cloud has confirmed that, or, in the term that launched them, with the
+   * machine's next epoch: launches name the epoch, so none of ours can be executed in a later one.
+   * An epoch that is new to this term proves nothing of what earlier leaders did: they may have
+   * known it, and a launch of theirs may still arrive there as long as the machine has not seen our
+   * token. So that is not relied on.
    */
   public void detect() {
     double now = loop.now();
-    double patience = UNRESPONSIVE_REPORTS * settings.heartbeatIntervalS();
-    for (Machine m : cluster.machines()) {
-      if (!m.up || m.unresponsive || m.isSilent(now)) {
+    double toleratedS = UNRESPONSIVE_INTERVALS * settings.heartbeatIntervalS();
+    for (Machine machine : machines.all()) {
+      if (!machine.isUp() || machine.health().isUnresponsive() || machine.health().isSilent(now)) {
         continue;
       }
-      boolean unconfirmedTooLong = !m.reconciled && since(m.firstLeaseRenewalAt) > patience;
-      if (unconfirmedTooLong
-          || m.attempts.values().stream()
-              .anyMatch(
-                  a ->
-                      a.state == Attempt.State.LAUNCHING
-                          && a.deliveryUnknown
-                          && since(a.placedAt) > patience)) {
-        markUnresponsive(m);
+      boolean reconciliationOverdue =
+          !machine.isReconciled()
+              && machines.listeningTimeSince(machine.lease().firstRenewedAt()) > toleratedS;
+      if (reconciliationOverdue || hasOverdueLaunch(machine, toleratedS)) {
+        markUnresponsive(machine);
       }
     }
   }
 
-  /**
-   * For how long a machine has had the chance to receive commands: none while this node stood
-   * still.
-   */
-  private double since(double moment) {
-    return loop.now() - Math.max(moment, cluster.resumedAt());
+  private boolean hasOverdueLaunch(Machine machine, double toleratedS) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.isLaunching()
+          && attempt.isDeliveryUnknown()
+          && machines.listeningTimeSince(attempt.createdAt()) > toleratedS) {
+        return true;
+      }
+    }
+    return false;
   }
 
-  void markUnresponsive(Machine m) {
-    LOG.debug("machine {} does not seem to receive commands", m.id);
-    m.unresponsive = true;
-    m.unresponsiveSince = loop.now();
-    m.invalidateView();
-    cluster.markChanged();
-    cluster.commandsDue(m);
+  void markUnresponsive(Machine machine) {
+    LOG.debug("Machine unresponsive: machine={}", machine.id());
+    machine.markUnresponsive(loop.now());
+    onChange.run();
+    commandQueue.markDue(machine);
   }
 
-  /** There is proof that something we said has reached the machine. */
-  void markResponsive(Machine m) {
-    if (m.unresponsive) {
-      m.unresponsive = false;
-      cluster.markChanged();
+  /** There is proof that a message of ours has reached the machine. */
+  void markResponsive(Machine machine) {
+    if (machine.health().isUnresponsive()) {
+      machine.health().markResponsive();
+      onChange.run();
     }
   }
 
   /**
-   * Whether a machine has not heard us for so long that it is of no use. Should many seem deaf,
-   * then it is we who cannot be heard, and the machines are not to blame.
+   * Whether a machine has been unresponsive for so long that it is of no use. Should many seem so,
+   * then it is this controller that cannot be heard, and the machines are not to blame.
    */
-  public boolean isUnusable(Machine m) {
-    if (!m.unresponsive || since(m.unresponsiveSince) < 2 * settings.heartbeatIntervalS()) {
+  public boolean isUnusable(Machine machine) {
+    if (!machine.health().isUnresponsive()
+        || machines.listeningTimeSince(machine.health().unresponsiveSince())
+            < UNUSABLE_INTERVALS * settings.heartbeatIntervalS()) {
       return false;
     }
-    long unresponsive = cluster.machines().stream().filter(other -> other.unresponsive).count();
-    return unresponsive <= Math.max(2, cluster.machines().size() * UNRESPONSIVE_SHARE);
+    long unresponsive =
+        machines.all().stream().filter(other -> other.health().isUnresponsive()).count();
+    return unresponsive
+        <= Math.max(MIN_UNRESPONSIVE_LIMIT, machines.all().size() * MAX_UNRESPONSIVE_SHARE);
   }
 }
--- a/src/main/java/org/saffronshore/control/Autoscaler.java
+++ b/src/main/java/org/saffronshore/control/Autoscaler.java
@@ -186,7 +186,8 @@
     }
     double limit = dearest;
     List<SchedulingPlan.UnplacedTasks> displaced =
-        DisplacedTasks.find(cluster.machineTypes(), scarce, late, cluster.view().runningOn(scarce));
+        DisplacedTasks.find(
+            cluster.machineTypes(), scarce, late, cluster.view().tasksOnMachineTypes(scarce));
     if (displaced.isEmpty()) {
       return;
     }
--- a/src/main/java/org/saffronshore/control/Consolidation.java
+++ b/src/main/java/org/saffronshore/control/Consolidation.java
@@ -49,10 +49,10 @@
         draining++;
         continue;
       }
-      Resources room = m.isEmpty() ? null : cluster.view().freeOn(m);
+      Resources room = m.isEmpty() ? null : cluster.view().freeResources(m);
       if (room != null) {
         rooms.put(m, room);
-        if (cluster.view().movable(m, MIN_RUN_S) && now > m.rentedAt() + MIN_CHARGED_S) {
+        if (cluster.view().isMovable(m, MIN_RUN_S) && now > m.rentedAt() + MIN_CHARGED_S) {
           leastFirst.add(m);
         }
       }
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -8,6 +8,7 @@
 import org.saffronshore.admin.OperatorSettings;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.CommandBatch;
+import org.saffronshore.cluster.DeliveryOutcome;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.cluster.Machine;
 import org.saffronshore.config.Settings;
@@ -406,7 +407,11 @@
           boolean surelyNot =
               answer.equals(org.saffronshore.http.Response.NOT_SENT)
                   || (answer.status() == 409 && report != null);
-          cluster.batchCompleted(call, answer.status() == 200 && report != null, surelyNot, report);
+          DeliveryOutcome outcome =
+              answer.status() == 200 && report != null
+                  ? DeliveryOutcome.EXECUTED
+                  : surelyNot ? DeliveryOutcome.NOT_EXECUTED : DeliveryOutcome.UNKNOWN;
+          cluster.batchCompleted(call, outcome, report);
           runDueWork();
         });
   }
--- a/src/main/java/org/saffronshore/control/ScaleIn.java
+++ b/src/main/java/org/saffronshore/control/ScaleIn.java
@@ -120,7 +120,7 @@
               .orElse(settings.workerLeaseS());
       cluster.arrivals().expectedJobs(now, boot / 2).forEach(e -> fitting.put(e, 0.0));
       for (Machine m : cluster.machines()) {
-        Resources room = returning.contains(m.id()) ? null : cluster.view().freeOn(m);
+        Resources room = returning.contains(m.id()) ? null : cluster.view().freeResources(m);
         if (room != null) {
           rooms.put(m, room);
           fitting.replaceAll((e, sum) -> sum + on(m, e));
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -75,8 +75,8 @@
     Map<String, Team> teams = cluster.view().teams(operator.scheduling(), operator.teamWeights());
     SchedulingPlan plan =
         SchedulingCycle.run(
-            cluster.view().hosts(),
-            cluster.view().pending(term.holdsStoreLease()),
+            cluster.view().schedulableMachines(),
+            cluster.view().pendingJobs(term.holdsStoreLease()),
             teams,
             operator.scheduling(),
             evict,
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -28,18 +28,17 @@
   @Test
   void aSilentMachineHoldsItsTasksForItsLease() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
     assertFalse(placeable());
@@ -52,26 +51,25 @@
             1,
             70,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(placeable(), "a late report of a session that is over changes nothing");
   }
 
   @Test
   void directAnswersRenewNoLease() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(2);
     cluster.expireLeases();
     assertTrue(placeable());
@@ -80,13 +78,12 @@
   @Test
   void olderReportsChangeNothing() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
-    long attempt = call.launches().get(0).number();
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
+    long attempt = batch.launches().get(0).number();
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(report("host-1", 1, 49, TERM));
@@ -99,8 +96,8 @@
   @CsvSource({"1, false", "9, false", "15, true"})
   void aListProvesAbsenceOnlyWhenItIsNewEnough(double age, boolean removed) {
     job(101);
-    Machine m = up("host-1");
-    launch(m);
+    Machine machine = up("host-1");
+    launch(machine);
     loop.pass(age);
     cluster.removeUnlisted(Set.of(), loop.now());
     assertEquals(removed, cluster.machine("host-1") == null);
@@ -115,11 +112,11 @@
   @Test
   void aFailedMachineHoldsNothing() {
     job(101);
-    Machine m = up("host-1");
-    launch(m);
+    Machine machine = up("host-1");
+    launch(machine);
     cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, true, 50);
     assertTrue(placeable());
-    assertFalse(m.isSchedulable(loop.now()));
+    assertFalse(machine.isSchedulable(loop.now()));
   }
 
   @ParameterizedTest
@@ -135,23 +132,22 @@
       })
   void onlyDoneIsDone(ExitReason why) {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.EXITED, why)));
-    assertEquals(why == ExitReason.COMPLETED, cluster.job("wk-1").isComplete());
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, why)));
+    assertEquals(why == ExitReason.COMPLETED, openJob("wk-1").isComplete());
     assertEquals(why != ExitReason.COMPLETED, placeable());
     assertEquals(
         why != ExitReason.COMPLETED,
-        ops(cluster.responseCommands(m)).contains(Command.Action.REAP),
+        ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
         "a result is kept until the state service knows of it");
   }
 
@@ -166,7 +162,7 @@
           Integer.MAX_VALUE);
     }
     Machine bad = up("host-1");
-    for (int i = 0; i < Cluster.MAX_CONSECUTIVE_FAILURES; i++) {
+    for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
           report(
               "host-1",
@@ -183,7 +179,7 @@
               task("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertTrue(bad.isQuarantined());
-    assertEquals(2, cluster.view().pending(true).size(), "the jobs are not to blame");
+    assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
 
     for (int i = 2; i < 5; i++) {
       up("host-" + i);
@@ -203,7 +199,7 @@
               task("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertEquals(
-        List.of("wk-0"), cluster.view().pending(true).stream().map(p -> p.job.id()).toList());
-    assertFalse(cluster.machine("host-4").isQuarantined());
+        List.of("wk-0"), cluster.view().pendingJobs(true).stream().map(p -> p.job.id()).toList());
+    assertFalse(machine("host-4").isQuarantined());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
+++ b/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
@@ -5,6 +5,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Random;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.BeforeEach;
@@ -25,7 +26,7 @@
   static final TaskId TASK = new TaskId("wk-1", 0);
   final ManualEventLoop loop = new ManualEventLoop();
   final Cluster cluster = new Cluster(loop, TestData.settings(), TERM, KEY);
-  long seq;
+  long sequence;
 
   @BeforeEach
   void types() {
@@ -42,18 +43,34 @@
   }
 
   Machine up(String id) {
-    Machine m = cluster.heartbeatReceived(report(id, 1, ++seq, TERM));
-    cluster.registry().markRegistered(List.of(m));
-    return m;
+    Machine machine =
+        Objects.requireNonNull(cluster.heartbeatReceived(report(id, 1, ++sequence, TERM)));
+    cluster.registry().markRegistered(List.of(machine));
+    return machine;
+  }
+
+  /** A machine that must be there. */
+  Machine machine(String id) {
+    return Objects.requireNonNull(cluster.machine(id), id);
+  }
+
+  /** A job that must be open. */
+  Job openJob(String id) {
+    return Objects.requireNonNull(cluster.job(id), id);
+  }
+
+  /** The next batch of a machine, which must have one. */
+  CommandBatch nextBatch(Machine machine) {
+    return Objects.requireNonNull(cluster.nextBatch(machine), machine.id());
   }
 
   boolean placeable() {
-    return !cluster.view().pending(true).isEmpty();
+    return !cluster.view().pendingJobs(true).isEmpty();
   }
 
-  CommandBatch launch(Machine m) {
-    cluster.place(TASK, m.id());
-    return cluster.nextBatch(m);
+  CommandBatch launch(Machine machine) {
+    cluster.place(TASK, machine.id());
+    return nextBatch(machine);
   }
 
   Map<String, Team> teams() {
@@ -62,8 +79,8 @@
 
   SchedulingPlan plan(Map<String, Team> teams) {
     return SchedulingCycle.run(
-        cluster.view().hosts(),
-        cluster.view().pending(true),
+        cluster.view().schedulableMachines(),
+        cluster.view().pendingJobs(true),
         teams,
         SchedulingSettings.DEFAULTS,
         false,
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -31,14 +31,16 @@
   void aSessionFoundByACallHasAWholeLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
-    Machine m = cluster.machine("host-1");
-    cluster.batchCompleted(cluster.nextBatch(m), true, false, report("host-1", 1, ++seq, TERM));
-    cluster.registry().markRegistered(List.of(m));
+    Machine machine = machine("host-1");
+    cluster.batchCompleted(
+        nextBatch(machine), DeliveryOutcome.EXECUTED, report("host-1", 1, ++sequence, TERM));
+    cluster.registry().markRegistered(List.of(machine));
     job(KEY + 1);
     loop.pass(TestData.LEASE_S * 0.7);
     cluster.directStatusReceived(
-        m,
-        report("host-1", 2, ++seq, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        machine,
+        report(
+            "host-1", 2, ++sequence, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(placeable());
     loop.pass(TestData.LEASE_S * leasesLater);
     cluster.expireLeases();
@@ -51,14 +53,14 @@
    */
   @Test
   void aMachineThatOnlyAnswersCallsGetsNoMoreWork() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     for (int i = 0; i < 6; i++) {
       loop.pass(TestData.settings().heartbeatIntervalS() / 2);
-      cluster.directStatusReceived(m, report("host-1", 1, ++seq, TERM));
+      cluster.directStatusReceived(machine, report("host-1", 1, ++sequence, TERM));
     }
-    assertTrue(cluster.view().hosts().isEmpty());
-    cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM));
-    assertEquals(1, cluster.view().hosts().size());
+    assertTrue(cluster.view().schedulableMachines().isEmpty());
+    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    assertEquals(1, cluster.view().schedulableMachines().size());
   }
 
   /**
@@ -98,10 +100,15 @@
     boundToZones(oneZone, false, 1);
     cluster.heartbeatReceived(
         report(
-            "host-1", 1, ++seq, TERM - 1, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+            "host-1",
+            1,
+            ++sequence,
+            TERM - 1,
+            task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertEquals(placeable, placeable(), "its other tasks were never launched");
     cluster.heartbeatReceived(
-        report("host-1", 1, ++seq, TERM, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+        report(
+            "host-1", 1, ++sequence, TERM, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(placeable(), "the task is there, and so nowhere else");
   }
 
@@ -150,12 +157,16 @@
       up("host-" + i);
       cluster.heartbeatReceived(
           report(
-              "host-" + i, 1, ++seq, TERM, task("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
+              "host-" + i,
+              1,
+              ++sequence,
+              TERM,
+              task("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
       cluster.heartbeatReceived(
           report(
               "host-" + i,
               1,
-              ++seq,
+              ++sequence,
               TERM,
               task("wk-1", i, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -27,10 +27,10 @@
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
   void aLateCopyChangesNothing(long session, long tick, String shows) {
     cluster.heartbeatReceived(report("host-1", 2, 1, TERM));
-    Machine m = cluster.machine("host-1");
-    cluster.registry().markRegistered(List.of(m));
+    Machine machine = machine("host-1");
+    cluster.registry().markRegistered(List.of(machine));
     job(101);
-    long attempt = launch(m).launches().get(0).number();
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(
         new Heartbeat(
@@ -45,18 +45,18 @@
                 TERM,
                 task("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
-    assertEquals(1, cluster.job("wk-1").runningTaskCount());
+    assertEquals(1, openJob("wk-1").runningTaskCount());
     assertFalse(placeable());
-    assertEquals(2, m.epoch);
-    assertTrue(m.hasPreemptionNotice(), "a notice is not undone");
+    assertEquals(2, machine.epochs().epoch());
+    assertTrue(machine.hasPreemptionNotice(), "a notice is not undone");
   }
 
   /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
   @Test
   void copiesDoNotHoldALostMachinesTasksWithoutEnd() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
-    long attempt = launch(m).launches().get(0).number();
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat last =
         report("host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE));
     cluster.heartbeatReceived(last);
@@ -72,8 +72,8 @@
     assertTrue(placeable());
     cluster.heartbeatReceived(last);
     assertTrue(placeable(), "a copy over a lease old brings nothing back");
-    assertFalse(m.isSchedulable(loop.now()));
-    assertEquals(0, cluster.view().hosts().size());
+    assertFalse(machine.isSchedulable(loop.now()));
+    assertEquals(0, cluster.view().schedulableMachines().size());
   }
 
   /**
@@ -82,13 +82,13 @@
    */
   @Test
   void aLateOriginalMayRenewTheLease() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
-    CommandBatch call = launch(m);
+    CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     Heartbeat.TaskStatus running =
-        task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
-    cluster.batchCompleted(call, true, false, report("host-1", 1, 60, TERM, running));
+        task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
+    cluster.batchCompleted(batch, DeliveryOutcome.EXECUTED, report("host-1", 1, 60, TERM, running));
     loop.pass(2);
     cluster.heartbeatReceived(report("host-1", 1, 59, TERM));
     cluster.expireLeases();
@@ -100,8 +100,8 @@
 
   @Test
   void aCopyBringsNoReturnedMachineBack() {
-    Machine m = up("host-1");
-    cluster.machineRemoved(m, "returned");
+    Machine machine = up("host-1");
+    cluster.machineRemoved(machine, "returned");
     assertNull(cluster.heartbeatReceived(report("host-1", 1, 99, TERM)));
     assertNull(cluster.machine("host-1"));
   }
@@ -113,7 +113,7 @@
   @Test
   void aCopyFromAnEarlierTermIsNoCapacity() {
     cluster.heartbeatReceived(report("host-1", 1, 99, TERM - 2));
-    assertEquals(0, cluster.view().hosts().size());
+    assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
     assertEquals(
         0,
@@ -135,11 +135,11 @@
     Heartbeat.TaskStatus now = task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(report("host-1", 1, 5, TERM - 1, old));
     cluster.heartbeatReceived(report("host-2", 1, 1, TERM, now));
-    Machine second = cluster.machine("host-2");
+    Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().stopping());
     cluster.heartbeatReceived(report("host-1", 1, 90, TERM));
     assertFalse(placeable(), "it runs on host-2");
-    assertEquals(1, cluster.job("wk-1").runningTaskCount());
+    assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
   /** What is in two places is stopped in one; and only when it is in neither may it start again. */
@@ -152,12 +152,12 @@
         report("host-1", 1, 5, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(
         report("host-2", 1, 5, TERM, task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE)));
-    Machine first = cluster.machine("host-1");
-    Machine second = cluster.machine("host-2");
+    Machine first = machine("host-1");
+    Machine second = machine("host-2");
     assertEquals(
         1,
         List.of(first, second).stream()
-            .filter(m -> m.attempts().iterator().next().stopping())
+            .filter(machine -> machine.attempts().iterator().next().stopping())
             .count());
     cluster.heartbeatReceived(report("host-1", 1, 6, TERM));
     assertFalse(placeable());
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -8,6 +8,7 @@
 
 import java.util.BitSet;
 import java.util.List;
+import java.util.Objects;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,29 +22,32 @@
 
 /** Launches whose delivery is in doubt, and to whom nothing new is launched. */
 class LaunchTest extends ClusterTestBase {
-  /** What became of the launch: executed, certainly not, or nobody knows. */
   @ParameterizedTest
-  @CsvSource({"true, false, false", "false, true, true", "false, false, false"})
-  void aLaunchThatMayArriveHoldsItsTask(boolean executed, boolean surelyNot, boolean placeable) {
+  @CsvSource({"EXECUTED, false", "NOT_EXECUTED, true", "UNKNOWN, false"})
+  void taskIsPlaceableAgainOnlyWhenItsLaunchCannotArrive(
+      DeliveryOutcome outcome, boolean placeable) {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
-    assertEquals(List.of(Command.Action.LAUNCH), ops(call.commands()));
-    Heartbeat answer =
-        executed
-            ? report(
-                "host-1",
-                1,
-                50,
-                TERM,
-                task(
-                    "wk-1",
-                    0,
-                    call.launches().get(0).number(),
-                    TaskState.PULLING_IMAGE,
-                    ExitReason.NONE))
-            : surelyNot ? report("host-1", 1, 50, TERM) : null;
-    cluster.batchCompleted(call, executed, surelyNot, answer);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
+    assertEquals(List.of(Command.Action.LAUNCH), ops(batch.commands()));
+    Heartbeat status =
+        switch (outcome) {
+          case EXECUTED ->
+              report(
+                  "host-1",
+                  1,
+                  50,
+                  TERM,
+                  task(
+                      "wk-1",
+                      0,
+                      batch.launches().get(0).number(),
+                      TaskState.PULLING_IMAGE,
+                      ExitReason.NONE));
+          case NOT_EXECUTED -> report("host-1", 1, 50, TERM);
+          case UNKNOWN -> null;
+        };
+    cluster.batchCompleted(batch, outcome, status);
     assertEquals(placeable, placeable());
     cluster.heartbeatReceived(
         report(
@@ -51,8 +55,8 @@
             1,
             51,
             TERM,
-            executed
-                ? answer.tasks().toArray(new Heartbeat.TaskStatus[0])
+            outcome == DeliveryOutcome.EXECUTED
+                ? Objects.requireNonNull(status).tasks().toArray(new Heartbeat.TaskStatus[0])
                 : new Heartbeat.TaskStatus[0]));
     assertEquals(
         placeable,
@@ -63,8 +67,8 @@
   @Test
   void aNewerSessionEndsAnUnansweredLaunch() {
     job(101);
-    Machine m = up("host-1");
-    cluster.batchCompleted(launch(m), false, false, null);
+    Machine machine = up("host-1");
+    cluster.batchCompleted(launch(machine), DeliveryOutcome.UNKNOWN, null);
     cluster.heartbeatReceived(report("host-1", 2, 60, TERM));
     assertTrue(placeable());
   }
@@ -76,27 +80,28 @@
   @Test
   void aLostLaunchIsEndedByRepeatingIt() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
-    cluster.batchCompleted(call, false, false, null);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     cluster.removeJob("wk-1");
     loop.pass(5);
     assertEquals(
-        List.of(Command.Action.LAUNCH, Command.Action.STOP), ops(cluster.responseCommands(m)));
+        List.of(Command.Action.LAUNCH, Command.Action.STOP),
+        ops(cluster.responseCommands(machine)));
   }
 
   @Test
   void anAttemptIsNotForgottenWhileItsLaunchMayArrive() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
-    cluster.batchCompleted(call, false, false, null);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     Heartbeat.TaskStatus ended =
-        task("wk-1", 0, call.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
+        task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
     cluster.heartbeatReceived(report("host-1", 1, 50, TERM, ended));
     assertTrue(placeable(), "it is over there");
-    assertFalse(ops(cluster.responseCommands(m)).contains(Command.Action.REAP));
-    assertTrue(m.hasTraceOf(TASK), "and must go elsewhere");
+    assertFalse(ops(cluster.responseCommands(machine)).contains(Command.Action.REAP));
+    assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
   }
 
   /**
@@ -106,14 +111,14 @@
   @ParameterizedTest
   @CsvSource({"false, 1", "true, 0"})
   void whatGotGoingAtLastIsNotStopped(boolean overdue, int stops) {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     cluster.addJob(
         TestData.job("wk-1", "free", Priority.STANDARD, 1, 32),
         101,
         0,
         new BitSet(),
         Integer.MAX_VALUE);
-    cluster.place(TASK, m.id(), overdue);
+    cluster.place(TASK, machine.id(), overdue);
     cluster.addJob(
         TestData.job("wk-2", "free", Priority.URGENT, 1, 32),
         102,
@@ -127,13 +132,13 @@
   /** Tasks that are put on a machine that hangs are lost time, for as long as its lease. */
   @Test
   void aSilentMachineGetsNothingNew() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
     loop.pass(3 * 2.2 + 0.1);
-    assertEquals(0, cluster.view().hosts().size());
-    cluster.place(TASK, m.id());
+    assertEquals(0, cluster.view().schedulableMachines().size());
+    cluster.place(TASK, machine.id());
     assertTrue(placeable());
     up("host-1");
-    assertEquals(1, cluster.view().hosts().size());
+    assertEquals(1, cluster.view().schedulableMachines().size());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -48,16 +48,16 @@
             saves ? 2 : 0,
             Double.POSITIVE_INFINITY);
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine m = up("host-1");
-    long attempt = launch(m).launches().get(0).number();
+    Machine machine = up("host-1");
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(report("host-1", 1, 50, TERM, running));
     loop.pass(ran);
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 1, 51, TERM, 14.0, List.of(running)));
-    assertEquals(stopped, m.attempts().iterator().next().stopping());
-    assertFalse(m.isSchedulable(loop.now()));
+    assertEquals(stopped, machine.attempts().iterator().next().stopping());
+    assertFalse(machine.isSchedulable(loop.now()));
   }
 
   @Test
@@ -84,19 +84,19 @@
             2,
             Double.POSITIVE_INFINITY);
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine m = up("host-1");
-    long attempt = launch(m).launches().get(0).number();
+    Machine machine = up("host-1");
+    long attempt = launch(machine).launches().get(0).number();
     cluster.heartbeatReceived(
         report(
             "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
-    assertFalse(cluster.view().movable(m, 10));
+    assertFalse(cluster.view().isMovable(machine, 10));
     loop.pass(11);
     cluster.heartbeatReceived(
         report(
             "host-1", 1, 51, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(cluster.view().movable(m, 10));
-    cluster.drain(m);
-    assertTrue(m.isDraining() && !m.isSchedulable(loop.now()));
+    assertTrue(cluster.view().isMovable(machine, 10));
+    cluster.drain(machine);
+    assertTrue(machine.isDraining() && !machine.isSchedulable(loop.now()));
     assertFalse(placeable(), "it is there until it has saved");
   }
 }
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -6,6 +6,7 @@
 
 import java.util.BitSet;
 import java.util.HashSet;
+import java.util.Objects;
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -36,7 +37,7 @@
   }
 
   private QuotaUsage.Amounts counted() {
-    return teams().get("red").use().cpus();
+    return Objects.requireNonNull(teams().get("red")).use().cpus();
   }
 
   private void apply(String event) {
@@ -48,7 +49,7 @@
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", i, 7, TaskState.EXITED, ExitReason.COMPLETED)));
         }
@@ -59,7 +60,7 @@
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", 0, 7, TaskState.EXITED, ExitReason.COMPLETED)));
       case "host-1 shows wk-1/0" ->
@@ -67,7 +68,7 @@
               report(
                   "host-1",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
       case "an old report of host-3 shows wk-1/0" ->
@@ -75,10 +76,11 @@
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM - 1,
                   task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-      case "host-3 holds nothing" -> cluster.heartbeatReceived(report("host-3", 1, ++seq, TERM));
+      case "host-3 holds nothing" ->
+          cluster.heartbeatReceived(report("host-3", 1, ++sequence, TERM));
       default -> assertEquals("nothing", event);
     }
   }
--- a/src/test/java/org/saffronshore/cluster/TakeoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/TakeoverTest.java
@@ -41,7 +41,7 @@
     job(1);
     cluster.heartbeatReceived(report("host-1", 1, 1, TERM - 1));
     assertFalse(placeable(), "an order of the last leader may still arrive there");
-    assertNotNull(cluster.nextBatch(cluster.machine("host-1")), "it is told the token at once");
+    assertNotNull(cluster.nextBatch(machine("host-1")), "it is told the token at once");
     cluster.heartbeatReceived(report("host-1", 1, 2, TERM));
     assertTrue(placeable());
   }
@@ -54,23 +54,24 @@
   void aRegisteredMachineIsAskedBeforeItReports() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
-    Machine m = cluster.machine("host-1");
-    assertNull(cluster.nextBatch(m), "nobody knows where it is");
+    Machine machine = machine("host-1");
+    assertNull(cluster.nextBatch(machine), "nobody knows where it is");
     cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
-    assertEquals(m, cluster.nextMachineWithCommands());
-    CommandBatch guess = cluster.nextBatch(m);
+    assertEquals(machine, cluster.nextMachineWithCommands());
+    CommandBatch guess = nextBatch(machine);
     assertEquals(1, guess.epoch());
     assertTrue(guess.commands().isEmpty());
-    cluster.batchCompleted(guess, false, true, report("host-1", 3, ++seq, TERM - 1));
+    cluster.batchCompleted(
+        guess, DeliveryOutcome.NOT_EXECUTED, report("host-1", 3, ++sequence, TERM - 1));
     assertFalse(placeable(), "an order of the last leader may still arrive there");
-    CommandBatch right = cluster.nextBatch(m);
+    CommandBatch right = nextBatch(machine);
     assertEquals(3, right.epoch());
-    cluster.batchCompleted(right, true, false, report("host-1", 3, ++seq, TERM));
+    cluster.batchCompleted(right, DeliveryOutcome.EXECUTED, report("host-1", 3, ++sequence, TERM));
     assertTrue(placeable());
-    assertNull(cluster.nextBatch(m));
+    assertNull(cluster.nextBatch(machine));
     loop.pass(TestData.LEASE_S + 1);
     cluster.expireLeases();
-    assertFalse(m.isUp(), "asking renews no lease");
+    assertFalse(machine.isUp(), "asking renews no lease");
   }
 
   /**
@@ -95,20 +96,20 @@
   void nothingIsLaunchedThatIsNotWrittenDown() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), KEY + 1, 0, new BitSet(), 0);
-    Machine m = up("host-1");
-    assertTrue(cluster.view().pending(false).isEmpty(), "it cannot be written down now");
+    Machine machine = up("host-1");
+    assertTrue(cluster.view().pendingJobs(false).isEmpty(), "it cannot be written down now");
     cluster.place(TASK, "host-1");
     cluster.retryCommands();
-    assertNull(cluster.nextBatch(m));
-    assertTrue(cluster.responseCommands(m).isEmpty());
+    assertNull(cluster.nextBatch(machine));
+    assertTrue(cluster.responseCommands(machine).isEmpty());
     Job job = cluster.jobsAwaitingLaunchWatermark().iterator().next();
     assertEquals(1, job.requestedLaunchWatermark());
     cluster.launchWatermarkSaved(job, 1);
     assertTrue(cluster.jobsAwaitingLaunchWatermark().isEmpty());
-    assertEquals(List.of(Command.Action.LAUNCH), ops(cluster.nextBatch(m).commands()));
+    assertEquals(List.of(Command.Action.LAUNCH), ops(nextBatch(machine).commands()));
     cluster.place(new TaskId("wk-1", 1), "host-1");
     assertEquals(2, job.requestedLaunchWatermark());
-    assertNull(cluster.nextBatch(m));
+    assertNull(cluster.nextBatch(machine));
   }
 
   /**
@@ -125,8 +126,8 @@
         0,
         new BitSet(),
         Integer.MAX_VALUE);
-    Machine m = up("host-2");
-    cluster.registry().markRegistered(List.of(m));
+    Machine machine = up("host-2");
+    cluster.registry().markRegistered(List.of(machine));
     SchedulingPlan plan = plan(teams());
     assertEquals(placeable, placed(plan));
     cluster.addRegistered("host-3", 0, null);
@@ -138,18 +139,18 @@
    */
   @Test
   void aFrozenMachineGetsNothingUntilItsRecordIsTakenBack() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
     loop.pass(5);
     cluster.registry().cordonSilent();
-    assertEquals(List.of(m), cluster.registry().takeCordonedMachines());
-    cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM));
-    assertFalse(m.isSchedulable(loop.now()));
+    assertEquals(List.of(machine), cluster.registry().takeCordonedMachines());
+    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    assertFalse(machine.isSchedulable(loop.now()));
     assertTrue(cluster.registry().hasPendingWrites());
-    assertEquals(List.of(m), cluster.registry().unregisteredMachines());
-    cluster.registry().markRegistered(List.of(m));
-    assertTrue(m.isSchedulable(loop.now()));
-    cluster.machineRemoved(m, "returned");
+    assertEquals(List.of(machine), cluster.registry().unregisteredMachines());
+    cluster.registry().markRegistered(List.of(machine));
+    assertTrue(machine.isSchedulable(loop.now()));
+    cluster.machineRemoved(machine, "returned");
     assertTrue(cluster.registry().removedMachines().contains("host-1"));
   }
 
@@ -185,15 +186,15 @@
     cluster.heartbeatReceived(
         report("host-1", 1, 1, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(placeable());
-    assertEquals(1, cluster.job("wk-1").runningTaskCount());
+    assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
   @Test
   void stopsWhatBelongsToNoOpenJob() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     cluster.heartbeatReceived(
         report("host-1", 1, 9, TERM, task("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    assertEquals(List.of(Command.Action.STOP), ops(cluster.nextBatch(m).commands()));
+    assertEquals(List.of(Command.Action.STOP), ops(nextBatch(machine).commands()));
   }
 
   @Test
@@ -203,12 +204,12 @@
     Map<String, Team> teams = teams();
     var more = TestData.job("wk-2", "red", Priority.STANDARD, 1, 62);
     cluster.addJob(more, KEY + 1, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine m = up("host-2");
+    Machine machine = up("host-2");
     SchedulingPlan plan = plan(teams);
     assertTrue(
         plan.placements().isEmpty() && plan.unplaced().isEmpty(),
         "4 that may run and 62 are beyond 64");
-    assertTrue(m.isReconciled());
+    assertTrue(machine.isReconciled());
   }
 
   /**
@@ -219,7 +220,7 @@
   @ParameterizedTest
   @CsvSource({"unseen, 0", "written down, 0", "of an open job, 1", "shown, 0", "gone, 1"})
   void countsWhatMayRunOfCancelledJobs(String what, int placed) {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     cluster.machineListed("host-2", null, "big", "a", true, false, 90);
     if (what.equals("unseen")) {
       cluster.addRegistered("host-2", 0, null);
@@ -245,7 +246,7 @@
         cluster.heartbeatReceived(
             new Heartbeat(
                 "host-3", "10.1.0.1:9000", "huge", "a", true, 1, 1, TERM, null, List.of()));
-    cluster.registry().markRegistered(List.of(m, huge));
+    cluster.registry().markRegistered(List.of(machine, huge));
     assertEquals(
         placed,
         plan(teams()).placements().stream().filter(p -> p.task().job().equals("wk-2")).count());
@@ -272,9 +273,14 @@
     cluster.removeJob("wk-2");
     if (accountedFor.equals("host-1")) {
       cluster.heartbeatReceived(
-          report("host-1", 1, ++seq, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+          report(
+              "host-1",
+              1,
+              ++sequence,
+              TERM,
+              task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     } else if (accountedFor.equals("host-2")) {
-      cluster.heartbeatReceived(report("host-2", 1, ++seq, TERM));
+      cluster.heartbeatReceived(report("host-2", 1, ++sequence, TERM));
     }
     assertEquals(placed, plan(teams()).placements().size());
   }
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -16,10 +16,10 @@
 
 /** Machines whose reports come, and that receive nothing of what they are sent. */
 class UnresponsiveMachineTest extends ClusterTestBase {
-  private CommandBatch lostLaunch(Machine m) {
-    CommandBatch call = launch(m);
-    cluster.batchCompleted(call, false, false, null);
-    return call;
+  private CommandBatch lostLaunch(Machine machine) {
+    CommandBatch batch = launch(machine);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
+    return batch;
   }
 
   /**
@@ -35,22 +35,22 @@
     "session rises and a call is answered, true, false"
   })
   void anUnresponsiveMachineGetsNoWorkAndIsReturned(String what, boolean usable, boolean returned) {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
     long session = 1;
     if (what.startsWith("launch")) {
-      CommandBatch call = lostLaunch(m);
+      CommandBatch batch = lostLaunch(machine);
       if (what.endsWith("is seen")) {
         cluster.heartbeatReceived(
             report(
                 "host-1",
                 1,
-                ++seq,
+                ++sequence,
                 TERM,
                 task(
                     "wk-1",
                     0,
-                    call.launches().get(0).number(),
+                    batch.launches().get(0).number(),
                     TaskState.RUNNING,
                     ExitReason.NONE)));
       }
@@ -59,23 +59,22 @@
       loop.pass(what.contains("silence") ? TestData.LEASE_S + 1 : 3);
     }
     for (int i = 0; i < 9; i++) {
-      if (m.taskCount() == 0 || !what.equals("launch is seen")) {
-        cluster.heartbeatReceived(report("host-1", session, ++seq, TERM));
+      if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
+        cluster.heartbeatReceived(report("host-1", session, ++sequence, TERM));
       } else {
-        m.lastHeartbeatAt = loop.now();
+        machine.health().countSilenceFrom(loop.now());
       }
       cluster.unresponsiveMachines().detect();
       if (what.endsWith("is answered")) {
         cluster.batchCompleted(
-            new CommandBatch(m, 2, List.of(), List.of()),
-            true,
-            false,
-            report("host-1", 2, ++seq, TERM));
+            new CommandBatch(machine, 2, List.of(), List.of()),
+            DeliveryOutcome.EXECUTED,
+            report("host-1", 2, ++sequence, TERM));
       }
       loop.pass(3);
     }
-    assertEquals(usable, m.isSchedulable(loop.now()));
-    assertEquals(returned, cluster.unresponsiveMachines().isUnusable(m));
+    assertEquals(usable, machine.isSchedulable(loop.now()));
+    assertEquals(returned, cluster.unresponsiveMachines().isUnusable(machine));
   }
 
   /**
@@ -86,20 +85,23 @@
   @CsvSource({"true, true", "false, false"})
   void aStandstillOfOursIsNoMachinesFault(boolean noticed, boolean usable) {
     job(101);
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     Machine other = up("host-2");
-    CommandBatch call = launch(other);
-    cluster.batchCompleted(call, false, false, null);
+    CommandBatch batch = launch(other);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     loop.standStill(10);
     if (noticed) {
       cluster.onProcessPause();
     }
     cluster.registry().cordonSilent();
-    assertEquals(usable, m.isSchedulable(loop.now()));
+    assertEquals(usable, machine.isSchedulable(loop.now()));
     assertEquals(usable, cluster.registry().takeCordonedMachines().isEmpty());
-    other.lastHeartbeatAt = loop.now();
+    other.health().countSilenceFrom(loop.now());
     cluster.unresponsiveMachines().detect();
-    assertEquals(!usable, other.unresponsive, "it had no chance to show that it heard the launch");
+    assertEquals(
+        !usable,
+        other.health().isUnresponsive(),
+        "it had no chance to show that it heard the launch");
     loop.pass(TestData.LEASE_S - 9);
     cluster.expireLeases();
     assertEquals(0, other.taskCount(), "what it was told counts from when it was told");
@@ -114,15 +116,15 @@
     cluster.addRegistered("host-1", 60, null);
     job(1);
     for (int i = 0; i < 8; i++) {
-      cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM - 1));
+      cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM - 1));
       cluster.unresponsiveMachines().detect();
       loop.pass(3);
     }
-    cluster.heartbeatReceived(report("host-1", 2, ++seq, TERM - 1));
+    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM - 1));
     assertFalse(
         placeable(), "an order of an earlier leader, which knew this session, may still arrive");
-    assertTrue(cluster.unresponsiveMachines().isUnusable(cluster.machine("host-1")));
-    cluster.machineRemoved(cluster.machine("host-1"), "returned");
+    assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
+    cluster.machineRemoved(machine("host-1"), "returned");
     assertTrue(placeable());
   }
 
@@ -132,14 +134,14 @@
    */
   @Test
   void theNextSessionFreesWhatAnUnresponsiveMachineHeld() {
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     job(101);
-    lostLaunch(m);
-    cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM));
+    lostLaunch(machine);
+    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
     assertFalse(placeable(), "the launch may yet arrive");
-    cluster.heartbeatReceived(report("host-1", 2, ++seq, TERM));
+    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM));
     assertTrue(placeable());
-    assertFalse(m.isSchedulable(loop.now()), "but not there");
+    assertFalse(machine.isSchedulable(loop.now()), "but not there");
   }
 
   /** When most machines seem deaf, it is this node that cannot be heard. */
@@ -149,8 +151,8 @@
     for (int i = 0; i < 10; i++) {
       all.add(up("host-" + i));
     }
-    for (Machine m : all) {
-      cluster.heartbeatReceived(report(m.id(), 2, ++seq, TERM));
+    for (Machine machine : all) {
+      cluster.heartbeatReceived(report(machine.id(), 2, ++sequence, TERM));
     }
     loop.pass(7);
     assertTrue(all.stream().noneMatch(cluster.unresponsiveMachines()::isUnusable));
