--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -120,7 +120,7 @@
     return startedAt;
   }
 
-  /** Whether anything happened since the last call that may let a task be placed. */
+  /** Whether anything happened since this was last asked that may let a task be placed. */
   public boolean consumeChanged() {
     boolean was = changed;
     changed = false;
@@ -320,7 +320,7 @@
   // Heartbeats
 
   /**
-   * Takes a heartbeat that the worker sent by itself, and that is going to be answered with 200.
+   * Takes a heartbeat that the worker sent by itself, and the response to which renews its lease.
    *
    * @return the machine, or null when it was removed
    */
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -26,7 +26,7 @@
  */
 class AttemptEndTest extends ClusterTestBase {
   @Test
-  void aSilentMachineHoldsItsTasksForItsLease() {
+  void tasksOfSilentMachineArePlaceableAgainAfterItsLeaseHasExpired() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -52,11 +52,11 @@
             70,
             TERM,
             task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "a late report of a session that is over changes nothing");
+    assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
   }
 
   @Test
-  void directAnswersRenewNoLease() {
+  void statusInCommandResponseRenewsNoLease() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void olderReportsChangeNothing() {
+  void olderHeartbeatIsIgnored() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -91,10 +91,10 @@
     assertFalse(placeable());
   }
 
-  /** Known since, missing from a list that was asked for then: is it gone? */
+  /** For how long it was known when the list was requested, and whether the list removes it. */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
-  void aListProvesAbsenceOnlyWhenItIsNewEnough(double age, boolean removed) {
+  void machineIsRemovedOnlyByListRequestedWellAfterItWasKnown(double age, boolean removed) {
     job(101);
     Machine machine = up("host-1");
     launch(machine);
@@ -105,12 +105,12 @@
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(report("host-1", 1, 99, TERM)),
-          "its late reports are not answered");
+          "its late heartbeats are not taken");
     }
   }
 
   @Test
-  void aFailedMachineHoldsNothing() {
+  void tasksOfFailedMachineArePlaceableAgain() {
     job(101);
     Machine machine = up("host-1");
     launch(machine);
@@ -130,7 +130,7 @@
         "UNKNOWN_TASK",
         "COMPLETED"
       })
-  void onlyDoneIsDone(ExitReason why) {
+  void taskIsFinishedOnlyWhenItsExitReasonIsCompleted(ExitReason reason) {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -142,17 +142,17 @@
             1,
             50,
             TERM,
-            task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, why)));
-    assertEquals(why == ExitReason.COMPLETED, openJob("wk-1").isComplete());
-    assertEquals(why != ExitReason.COMPLETED, placeable());
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, reason)));
+    assertEquals(reason == ExitReason.COMPLETED, openJob("wk-1").isComplete());
+    assertEquals(reason != ExitReason.COMPLETED, placeable());
     assertEquals(
-        why != ExitReason.COMPLETED,
+        reason != ExitReason.COMPLETED,
         ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
         "a result is kept until the state service knows of it");
   }
 
   @Test
-  void tellsABadMachineFromABadJob() {
+  void machineThatFailsJobsIsQuarantinedAndJobThatFailsOnMachinesBacksOff() {
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
--- a/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
+++ b/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
@@ -61,7 +61,8 @@
     "'b i a, c u b', 'a+', 'b', ''",
     "'a i, c u a, d u a', 'a+', 'c d', ''"
   })
-  void isReadyOnceAllThatItNeedsIsDone(String jobs, String ends, String ready, String unknown) {
+  void jobIsReadyOnceAllItsDependenciesAreDone(
+      String jobs, String ends, String ready, String unknown) {
     add(jobs);
     end(ends);
     List<String> open = new ArrayList<>(List.of("a", "b", "c", "d"));
@@ -79,7 +80,7 @@
     "'a i, b i a', 'a+', ''",
     "'b i a, c i b', 'a-', 'b c'"
   })
-  void isCancelledWithWhatItNeeds(String jobs, String ends, String cancelled) {
+  void jobIsCancelledWithAnyOfItsDependencies(String jobs, String ends, String cancelled) {
     add(jobs);
     end(ends);
     assertEquals(cancelled, sorted(graph.cancelledJobs()));
@@ -94,7 +95,7 @@
     "'a i, b i, c u b', '', 'a=IDLE b=URGENT c=URGENT'",
     "'a i, b i a, c i a, d s b, e u c', '', 'a=URGENT b=STANDARD c=URGENT d=STANDARD e=URGENT'"
   })
-  void theHighestPriorityOfWhatNeedsItCounts(String jobs, String ends, String priorities) {
+  void priorityOfJobIsTheHighestOfItsDependents(String jobs, String ends, String priorities) {
     add(jobs);
     graph.updatedPriorities();
     end(ends);
@@ -110,7 +111,7 @@
   }
 
   @Test
-  void timesCountFromTheLastEnd() {
+  void readyTimeIsThatOfTheLastDependency() {
     add("a i, b i, c u a b");
     end("b+ a+");
     assertEquals(1000 * 'b', graph.readyAtMs("c"));
@@ -119,7 +120,7 @@
 
   /** As deep and as wide as users may make it: no recursion, and each job is looked at once. */
   @Test
-  void holdsDeepAndWideChains() {
+  void deepAndWideGraphsAreProcessedWithoutRecursion() {
     int jobs = 20_000;
     for (int i = 1; i < jobs; i++) {
       graph.add("j" + i, i == jobs - 1 ? Priority.CRITICAL : Priority.IDLE, List.of("j" + (i - 1)));
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -19,16 +19,16 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Sessions, zones and back-offs when several faults meet. */
+/** Epochs, zones and backoffs when several faults meet. */
 class EpochAndZoneTest extends ClusterTestBase {
   /**
-   * A machine that reaches no controller is asked by the new leader, and answers from a session
-   * that began a moment ago, when the last one's lease was over. That session's lease is as long
-   * again, whoever was last answered when.
+   * A machine that reaches no controller is sent a command by the new leader, and responds from an
+   * epoch that began a moment ago, when the last one's lease had expired. The new epoch's lease is
+   * as long again, whenever the last one was renewed.
    */
   @ParameterizedTest
   @CsvSource({"0.5, false", "1.1, true"})
-  void aSessionFoundByACallHasAWholeLease(double leasesLater, boolean placeable) {
+  void epochFoundByDirectCommandHasAWholeLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
     Machine machine = machine("host-1");
@@ -48,11 +48,11 @@
   }
 
   /**
-   * Answers to calls say nothing of whether a worker reaches us: what it is given would end with
-   * its lease.
+   * Responses to commands say nothing of whether a worker reaches us: what it is given would end
+   * with its lease.
    */
   @Test
-  void aMachineThatOnlyAnswersCallsGetsNoMoreWork() {
+  void machineThatOnlyRespondsToCommandsIsNotSchedulable() {
     Machine machine = up("host-1");
     for (int i = 0; i < 6; i++) {
       loop.pass(TestData.settings().heartbeatIntervalS() / 2);
@@ -64,12 +64,12 @@
   }
 
   /**
-   * A task on a machine that nobody has found yet is in a zone that nobody knows: the others cannot
-   * choose theirs.
+   * A task on a machine that is not reconciled may be in any zone: the others cannot choose theirs.
    */
   @ParameterizedTest
   @CsvSource({"false, false, true", "true, false, false", "false, true, false"})
-  void aJobBoundToZonesWaitsForItsUnseenTasks(boolean oneZone, boolean spread, boolean placeable) {
+  void jobWithZoneConstraintWaitsForUnreconciledMachinesThatMayRunIt(
+      boolean oneZone, boolean spread, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     up("host-2");
     boundToZones(oneZone, spread, 2);
@@ -81,8 +81,8 @@
   }
 
   /**
-   * An old report of a machine that is not accounted for shows a task that may be elsewhere by now:
-   * it does not tell the job's zone.
+   * An old heartbeat of an unreconciled machine shows a task that may be elsewhere by now: it does
+   * not tell the job's zone.
    */
   @ParameterizedTest
   @CsvSource({
@@ -91,11 +91,12 @@
     "true, wk-1/0, false",
     "true, wk-2/0, false",
   })
-  void anOldReportDoesNotTellTheZone(boolean oneZone, String heldByUnseen, boolean placeable) {
+  void heartbeatOfUnreconciledMachineDoesNotTellTheZoneOfItsTask(
+      boolean oneZone, String possibleOnThird, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    Set<TaskId> held =
-        heldByUnseen.isEmpty() ? null : Set.of(new TaskId(heldByUnseen.substring(0, 4), 0));
-    cluster.addRegistered("host-3", 90, held);
+    Set<TaskId> possibleTasks =
+        possibleOnThird.isEmpty() ? null : Set.of(new TaskId(possibleOnThird.substring(0, 4), 0));
+    cluster.addRegistered("host-3", 90, possibleTasks);
     up("host-2");
     boundToZones(oneZone, false, 1);
     cluster.heartbeatReceived(
@@ -112,7 +113,7 @@
     assertTrue(placeable(), "the task is there, and so nowhere else");
   }
 
-  private void boundToZones(boolean oneZone, boolean spread, int launchMark) {
+  private void boundToZones(boolean oneZone, boolean spread, int launchWatermark) {
     JobSpec plain = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
     cluster.addJob(
         new JobSpec(
@@ -138,7 +139,7 @@
         1,
         0,
         new BitSet(),
-        launchMark);
+        launchWatermark);
   }
 
   /**
@@ -146,7 +147,7 @@
    * for long.
    */
   @Test
-  void noJobIsLeftAloneForLongerThanALease() {
+  void jobBackoffIsNeverLongerThanALease() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 40, 1),
         KEY + 1,
--- a/src/test/java/org/saffronshore/cluster/TakeoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -25,37 +25,37 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** What a new leader may place, and what it has to wait for. */
-class TakeoverTest extends ClusterTestBase {
+/** What a new leader may place after a failover, and what it has to wait for. */
+class FailoverTest extends ClusterTestBase {
   @ParameterizedTest
   @CsvSource({"99, false", "101, true"})
-  void onlyJobsOfThisTermNeedNotWaitForUnheardMachines(long version, boolean placeable) {
+  void olderJobWaitsForUnreconciledMachinesAndNewerOneDoesNot(long version, boolean placeable) {
     cluster.addRegistered("host-1", 0, null);
     job(version);
     assertEquals(placeable, placeable());
   }
 
   @Test
-  void aMachineIsConfirmedOnceItKnowsTheToken() {
+  void machineIsReconciledOnceItShowsTheFencingToken() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
     cluster.heartbeatReceived(report("host-1", 1, 1, TERM - 1));
-    assertFalse(placeable(), "an order of the last leader may still arrive there");
-    assertNotNull(cluster.nextBatch(machine("host-1")), "it is told the token at once");
+    assertFalse(placeable(), "a launch of the last leader may still arrive there");
+    assertNotNull(cluster.nextBatch(machine("host-1")), "it is sent the token at once");
     cluster.heartbeatReceived(report("host-1", 1, 2, TERM));
     assertTrue(placeable());
   }
 
   /**
-   * A new leader does not wait until every machine has found it: it asks those that the cloud's
-   * list tells it of.
+   * A new leader does not wait until every machine has found it: it sends a batch to those that the
+   * cloud's list tells it of.
    */
   @Test
-  void aRegisteredMachineIsAskedBeforeItReports() {
+  void registeredMachineIsSentAnEmptyBatchBeforeItsFirstHeartbeat() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
     Machine machine = machine("host-1");
-    assertNull(cluster.nextBatch(machine), "nobody knows where it is");
+    assertNull(cluster.nextBatch(machine), "its address is not known");
     cluster.machineListed("host-1", "10.1.0.1:9000", "big", "a", true, false, 90);
     assertEquals(machine, cluster.nextMachineWithCommands());
     CommandBatch guess = nextBatch(machine);
@@ -63,7 +63,7 @@
     assertTrue(guess.commands().isEmpty());
     cluster.batchCompleted(
         guess, DeliveryOutcome.NOT_EXECUTED, report("host-1", 3, ++sequence, TERM - 1));
-    assertFalse(placeable(), "an order of the last leader may still arrive there");
+    assertFalse(placeable(), "a launch of the last leader may still arrive there");
     CommandBatch right = nextBatch(machine);
     assertEquals(3, right.epoch());
     cluster.batchCompleted(right, DeliveryOutcome.EXECUTED, report("host-1", 3, ++sequence, TERM));
@@ -71,33 +71,33 @@
     assertNull(cluster.nextBatch(machine));
     loop.pass(TestData.LEASE_S + 1);
     cluster.expireLeases();
-    assertFalse(machine.isUp(), "asking renews no lease");
+    assertFalse(machine.isUp(), "a direct command renews no lease");
   }
 
   /**
-   * Machines that cannot be found may hold anything that was launched: the last leader wrote down
-   * how far that is, so what comes after it need not wait for them.
+   * Unreconciled machines may hold anything that was launched: the last leader wrote up to which
+   * task that is, so later tasks need not wait for them.
    */
   @ParameterizedTest
   @CsvSource({"0, 0 1 2", "2, 2", "3, ''"})
-  void whatWasNeverLaunchedWaitsForNoMachine(int launchMark, String placeable) {
+  void tasksFromTheLaunchWatermarkOnWaitForNoMachine(int launchWatermark, String placeable) {
     cluster.addRegistered("host-1", 0, null);
     cluster.addJob(
-        TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), 1, 0, new BitSet(), launchMark);
+        TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), 1, 0, new BitSet(), launchWatermark);
     up("host-2");
     assertEquals(placeable, placed(plan(teams())));
   }
 
   /**
-   * Were a task launched before that is written down, a next leader might take it for one that
-   * never was.
+   * Were a task launched before the watermark is written, the next leader might take it for one
+   * that never was.
    */
   @Test
-  void nothingIsLaunchedThatIsNotWrittenDown() {
+  void taskIsLaunchedOnlyOnceItsLaunchWatermarkIsSaved() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), KEY + 1, 0, new BitSet(), 0);
     Machine machine = up("host-1");
-    assertTrue(cluster.view().pendingJobs(false).isEmpty(), "it cannot be written down now");
+    assertTrue(cluster.view().pendingJobs(false).isEmpty(), "the watermark cannot be written now");
     cluster.place(TASK, "host-1");
     cluster.retryCommands();
     assertNull(cluster.nextBatch(machine));
@@ -113,15 +113,15 @@
   }
 
   /**
-   * Of a machine whose reports had stopped, the last leader wrote down what it held: only that must
-   * wait for it.
+   * Of a machine whose heartbeats had stopped, the last leader wrote what it held at most: only
+   * that must wait for it.
    */
   @ParameterizedTest
   @CsvSource({"false, 0 1 2", "true, 1 2"})
-  void onlyWhatWasWrittenDownWaitsForASilentMachine(boolean alsoHeld, String placeable) {
+  void onlyPossibleTasksWaitForCordonedMachine(boolean isPossible, String placeable) {
     cluster.addRegistered("host-1", 0, Set.of(TASK, new TaskId("wk-5", 1)));
     cluster.addJob(
-        TestData.job(alsoHeld ? "wk-1" : "wk-2", "red", Priority.STANDARD, 3, 4),
+        TestData.job(isPossible ? "wk-1" : "wk-2", "red", Priority.STANDARD, 3, 4),
         1,
         0,
         new BitSet(),
@@ -134,11 +134,9 @@
     assertFalse(placeable(), "that one may hold anything");
   }
 
-  /**
-   * Once it is being written down, nothing may be added until that is taken back, and known to be.
-   */
+  /** Once what it holds is being written, nothing may be added until another entry is confirmed. */
   @Test
-  void aFrozenMachineGetsNothingUntilItsRecordIsTakenBack() {
+  void cordonedMachineIsSchedulableOnlyOnceItsNewEntryIsConfirmed() {
     Machine machine = up("host-1");
     job(101);
     loop.pass(5);
@@ -155,7 +153,7 @@
   }
 
   @Test
-  void anUnheardMachineIsWaitedOutForItsLease() {
+  void olderJobWaitsForUnheardMachineUntilItsLeaseMustHaveExpired() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
     loop.pass(TestData.LEASE_S);
@@ -172,7 +170,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "60, true"})
-  void anOldMachineThatTheFirstListLacksIsGone(double age, boolean placeable) {
+  void longKnownMachineIsRemovedByTheFirstListThatLacksIt(double age, boolean placeable) {
     cluster.addRegistered("host-1", age, null);
     job(1);
     cluster.removeUnlisted(Set.of(), loop.now());
@@ -180,7 +178,7 @@
   }
 
   @Test
-  void adoptsWhatRuns() {
+  void runningTaskOfEarlierTermIsAdopted() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
     cluster.heartbeatReceived(
@@ -190,7 +188,7 @@
   }
 
   @Test
-  void stopsWhatBelongsToNoOpenJob() {
+  void taskOfNoOpenJobIsStopped() {
     Machine machine = up("host-1");
     cluster.heartbeatReceived(
         report("host-1", 1, 9, TERM, task("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
@@ -198,7 +196,7 @@
   }
 
   @Test
-  void countsWhatMayRunUnseenAgainstTheLimit() {
+  void possibleTasksCountAgainstTheLimit() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
     Map<String, Team> teams = teams();
@@ -213,23 +211,23 @@
   }
 
   /**
-   * Tasks of a job that was cancelled a moment before the leader changed may still run: on a
-   * machine nobody finds, on one of which it is written down, or on one that shows them. Nobody
-   * knows any more whose they are.
+   * Tasks of a job that was cancelled a moment before the failover may still run: on a machine that
+   * may hold anything, on one whose entry names them, or on one that shows them. Their team is not
+   * known any more.
    */
   @ParameterizedTest
-  @CsvSource({"unseen, 0", "written down, 0", "of an open job, 1", "shown, 0", "gone, 1"})
-  void countsWhatMayRunOfCancelledJobs(String what, int placed) {
+  @CsvSource({"possible anywhere, 0", "possible, 0", "of an open job, 1", "shown, 0", "nowhere, 1"})
+  void possibleTasksOfUnknownJobsCountAgainstEveryLimit(String what, int placed) {
     Machine machine = up("host-1");
     cluster.machineListed("host-2", null, "big", "a", true, false, 90);
-    if (what.equals("unseen")) {
+    if (what.equals("possible anywhere")) {
       cluster.addRegistered("host-2", 0, null);
     } else if (what.equals("shown")) {
       cluster.heartbeatReceived(
           report("host-2", 1, 9, TERM, task("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    } else if (!what.equals("gone")) {
+    } else if (!what.equals("nowhere")) {
       cluster.addRegistered(
-          "host-2", 0, Set.of(new TaskId(what.equals("written down") ? "wk-7" : "wk-8", 0)));
+          "host-2", 0, Set.of(new TaskId(what.equals("possible") ? "wk-7" : "wk-8", 0)));
     }
     cluster.addJob(TestData.job("wk-8", "free", Priority.STANDARD, 1, 32), 1, 0, new BitSet(), 1);
     cluster.addJob(
@@ -253,12 +251,12 @@
   }
 
   /**
-   * Cancelled while a machine that holds a task of it is unaccounted for, a job is over and its
-   * task may run on: beside the tasks of open jobs on other machines, and not instead of them.
+   * A job is cancelled while a machine that holds a task of it is unreconciled: the task may run
+   * on, beside the tasks of open jobs on other machines, and not instead of them.
    */
   @ParameterizedTest
   @CsvSource({"'', 0", "host-1, 0", "host-2, 1"})
-  void countsWhatIsCancelledDuringTheTakeoverBesideWhatIsNot(String accountedFor, int placed) {
+  void jobsCancelledDuringFailoverCountBesideOpenOnes(String reconciled, int placed) {
     cluster.addRegistered("host-1", 0, Set.of(new TaskId("wk-1", 0)));
     cluster.addRegistered("host-2", 0, Set.of(new TaskId("wk-2", 0)));
     cluster.machineListed("host-1", null, "big", "a", true, false, 90);
@@ -271,7 +269,7 @@
     up("host-3");
     assertEquals("", placed(plan(teams())), "two tasks of 30 CPUs, and 8 more, are beyond 64");
     cluster.removeJob("wk-2");
-    if (accountedFor.equals("host-1")) {
+    if (reconciled.equals("host-1")) {
       cluster.heartbeatReceived(
           report(
               "host-1",
@@ -279,7 +277,7 @@
               ++sequence,
               TERM,
               task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    } else if (accountedFor.equals("host-2")) {
+    } else if (reconciled.equals("host-2")) {
       cluster.heartbeatReceived(report("host-2", 1, ++sequence, TERM));
     }
     assertEquals(placed, plan(teams()).placements().size());
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -17,15 +17,15 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Reports that arrive late, or again. */
+/** Heartbeats that arrive late, or again. */
 class LateHeartbeatTest extends ClusterTestBase {
   /**
-   * A copy of a report, and what it must not do to a task that runs on host-1, session 2, of this
-   * term.
+   * Epoch, sequence and shown state of a copy that must not change a task which runs on host-1 in
+   * epoch 2 of this term.
    */
   @ParameterizedTest
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
-  void aLateCopyChangesNothing(long session, long tick, String shows) {
+  void lateCopyOfHeartbeatDoesNotChangeRunningTask(long epoch, long sequenceNumber, String shows) {
     cluster.heartbeatReceived(report("host-1", 2, 1, TERM));
     Machine machine = machine("host-1");
     cluster.registry().markRegistered(List.of(machine));
@@ -37,11 +37,11 @@
             "host-1", "10.1.0.1:9000", "big", "a", true, 2, 9, TERM, 60.0, List.of(running)));
     Heartbeat copy =
         shows.equals("none")
-            ? report("host-1", session, tick, TERM)
+            ? report("host-1", epoch, sequenceNumber, TERM)
             : report(
                 "host-1",
-                session,
-                tick,
+                epoch,
+                sequenceNumber,
                 TERM,
                 task("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
@@ -53,7 +53,7 @@
 
   /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
   @Test
-  void copiesDoNotHoldALostMachinesTasksWithoutEnd() {
+  void copiesOfHeartbeatDoNotExtendTheLeaseOfLostMachine() {
     Machine machine = up("host-1");
     job(101);
     long attempt = launch(machine).launches().get(0).number();
@@ -77,11 +77,11 @@
   }
 
   /**
-   * An original that is late may still be answered in time, and so renews the lease from when it
+   * The response to a late heartbeat may still arrive in time, and so renews the lease from when it
    * was sent.
    */
   @Test
-  void aLateOriginalMayRenewTheLease() {
+  void lateHeartbeatRenewsTheLeaseFromWhenItWasSent() {
     Machine machine = up("host-1");
     job(101);
     CommandBatch batch = launch(machine);
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void aCopyBringsNoReturnedMachineBack() {
+  void copyOfHeartbeatDoesNotBringRemovedMachineBack() {
     Machine machine = up("host-1");
     cluster.machineRemoved(machine, "returned");
     assertNull(cluster.heartbeatReceived(report("host-1", 1, 99, TERM)));
@@ -107,11 +107,10 @@
   }
 
   /**
-   * After a change of leader nothing newer is known: a copy of long ago must not pass for a machine
-   * with room.
+   * After a failover nothing newer is known: a copy of long ago must not count as free capacity.
    */
   @Test
-  void aCopyFromAnEarlierTermIsNoCapacity() {
+  void machineKnownByOldHeartbeatOnlyIsNoCapacity() {
     cluster.heartbeatReceived(report("host-1", 1, 99, TERM - 2));
     assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
@@ -123,11 +122,9 @@
     assertNull(cluster.machine("host-1"));
   }
 
-  /**
-   * A copy shows a task where it is not any more; the machine where it truly runs must not lose it.
-   */
+  /** A copy shows a task where it is not any more; it must not be stopped where it truly runs. */
   @Test
-  void aCopyDoesNotEndWhatTrulyRunsElsewhere() {
+  void copyOfHeartbeatDoesNotStopTaskOnReconciledMachine() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     job(1);
@@ -144,7 +141,7 @@
 
   /** What is in two places is stopped in one; and only when it is in neither may it start again. */
   @Test
-  void aTaskInTwoPlacesWaitsForBoth() {
+  void taskOnTwoMachinesIsStoppedOnOneAndPlaceableWhenOnNeither() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     job(1);
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -20,7 +20,7 @@
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.Priority;
 
-/** Launches whose delivery is in doubt, and to whom nothing new is launched. */
+/** Launches whose delivery is unknown, and machines on which nothing is launched. */
 class LaunchTest extends ClusterTestBase {
   @ParameterizedTest
   @CsvSource({"EXECUTED, false", "NOT_EXECUTED, true", "UNKNOWN, false"})
@@ -61,11 +61,11 @@
     assertEquals(
         placeable,
         placeable(),
-        "a report without the task proves nothing while the launch is on its way");
+        "a heartbeat without the task proves nothing while the launch may arrive");
   }
 
   @Test
-  void aNewerSessionEndsAnUnansweredLaunch() {
+  void newEpochEndsAttemptWhoseLaunchWasLost() {
     job(101);
     Machine machine = up("host-1");
     cluster.batchCompleted(launch(machine), DeliveryOutcome.UNKNOWN, null);
@@ -78,7 +78,7 @@
    * over.
    */
   @Test
-  void aLostLaunchIsEndedByRepeatingIt() {
+  void lostLaunchOfCancelledJobIsRepeatedWithStop() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void anAttemptIsNotForgottenWhileItsLaunchMayArrive() {
+  void exitedAttemptIsNotReapedWhileItsLaunchMayArrive() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -104,13 +104,10 @@
     assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
   }
 
-  /**
-   * The one task with which a job gets going that had waited for very long is not stopped for a
-   * higher class.
-   */
+  /** The one task with which an overdue job starts is not preempted for a higher priority. */
   @ParameterizedTest
   @CsvSource({"false, 1", "true, 0"})
-  void whatGotGoingAtLastIsNotStopped(boolean overdue, int stops) {
+  void overdueTaskIsNotPreempted(boolean overdue, int stops) {
     Machine machine = up("host-1");
     cluster.addJob(
         TestData.job("wk-1", "free", Priority.STANDARD, 1, 32),
@@ -131,7 +128,7 @@
 
   /** Tasks that are put on a machine that hangs are lost time, for as long as its lease. */
   @Test
-  void aSilentMachineGetsNothingNew() {
+  void silentMachineIsNotSchedulable() {
     Machine machine = up("host-1");
     job(101);
     loop.pass(3 * 2.2 + 0.1);
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -17,15 +17,16 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** Machines that are taken back, or emptied and returned. */
+/** Machines that the cloud takes back, or that are drained and returned. */
 class MachineRemovalTest extends ClusterTestBase {
   /**
-   * Saves or not, estimate of 30 s, seconds run before a notice of 14 s: is the task stopped for it
-   * at once?
+   * Whether the task saves checkpoints, the seconds that it ran of an estimated 30 s before a
+   * notice of 14 s, and whether it is stopped at once.
    */
   @ParameterizedTest
   @CsvSource({"true, 1, true", "true, 24, false", "false, 1, true", "false, 20, false"})
-  void aNoticeStopsWhatCannotEndInTime(boolean saves, double ran, boolean stopped) {
+  void preemptionNoticeStopsTasksThatCannotEndInTime(
+      boolean supportsCheckpoints, double ranS, boolean stopped) {
     JobSpec job =
         new JobSpec(
             "wk-1",
@@ -44,15 +45,15 @@
             false,
             true,
             30,
-            saves ? 10 : 0,
-            saves ? 2 : 0,
+            supportsCheckpoints ? 10 : 0,
+            supportsCheckpoints ? 2 : 0,
             Double.POSITIVE_INFINITY);
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
     Machine machine = up("host-1");
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(report("host-1", 1, 50, TERM, running));
-    loop.pass(ran);
+    loop.pass(ranS);
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 1, 51, TERM, 14.0, List.of(running)));
@@ -61,7 +62,7 @@
   }
 
   @Test
-  void onlyWhatSavesAndRanForAWhileIsMoved() {
+  void machineIsMovableOnlyOnceItsCheckpointingTasksRanForAWhile() {
     JobSpec job =
         new JobSpec(
             "wk-1",
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -18,21 +18,21 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What counts against a limit while machines are unaccounted for. Tasks take 4 CPUs, machines have
- * 32; wk-1 and wk-2 of team red have two tasks each, of which the first of each was launched.
+ * What counts against a limit while machines are unreconciled. Tasks take 4 CPUs, machines have 32;
+ * wk-1 and wk-2 of team red have two tasks each, of which the first of each was launched.
  */
 class QuotaAccountingTest extends ClusterTestBase {
   private static final double LIMIT_CPUS = 64;
 
   private void registered(String id, String tasks) {
-    Set<TaskId> held = null;
+    Set<TaskId> possibleTasks = null;
     if (!tasks.equals("anything")) {
-      held = new HashSet<>();
+      possibleTasks = new HashSet<>();
       for (String name : tasks.split(" ", -1)) {
-        held.add(new TaskId(name.substring(0, 4), Integer.parseInt(name.substring(5))));
+        possibleTasks.add(new TaskId(name.substring(0, 4), Integer.parseInt(name.substring(5))));
       }
     }
-    cluster.addRegistered(id, 0, held);
+    cluster.addRegistered(id, 0, possibleTasks);
     cluster.machineListed(id, null, "big", "a", true, false, 90);
   }
 
@@ -42,8 +42,8 @@
 
   private void apply(String event) {
     switch (event) {
-      case "wk-1 is called off" -> cluster.removeJob("wk-1");
-      case "wk-1 is done" -> {
+      case "wk-1 is cancelled" -> cluster.removeJob("wk-1");
+      case "wk-1 completes" -> {
         for (int i = 0; i < 2; i++) {
           cluster.heartbeatReceived(
               report(
@@ -55,7 +55,7 @@
         }
         cluster.removeJob("wk-1");
       }
-      case "wk-1/0 is done" ->
+      case "wk-1/0 completes" ->
           cluster.heartbeatReceived(
               report(
                   "host-3",
@@ -71,7 +71,7 @@
                   ++sequence,
                   TERM,
                   task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-      case "an old report of host-3 shows wk-1/0" ->
+      case "an old heartbeat of host-3 shows wk-1/0" ->
           cluster.heartbeatReceived(
               report(
                   "host-3",
@@ -88,9 +88,9 @@
   @ParameterizedTest
   @CsvSource({
     "wk-1/0, wk-2/0, nothing, 0, 8, 0",
-    "wk-1/0, wk-2/0, wk-1 is called off, 0, 4, 4",
-    "wk-1/0, wk-2/0, wk-1 is done, 0, 4, 0",
-    "wk-1/0, wk-2/0, wk-1/0 is done, 0, 4, 0",
+    "wk-1/0, wk-2/0, wk-1 is cancelled, 0, 4, 4",
+    "wk-1/0, wk-2/0, wk-1 completes, 0, 4, 0",
+    "wk-1/0, wk-2/0, wk-1/0 completes, 0, 4, 0",
     "wk-1/0, wk-2/0, host-1 shows wk-1/0, 4, 4, 0",
     // Two records may name one task; it is on one machine only.
     "wk-1/0, wk-1/0, nothing, 0, 4, 0",
@@ -99,11 +99,11 @@
     "wk-1/0 wk-9/0, wk-2/0, nothing, 0, 8, 28",
     // A machine that may hold anything counts beside one that is written down.
     "wk-1/0, anything, nothing, 0, 8, 28",
-    "wk-1/0, anything, wk-1 is called off, 0, 4, 32",
+    "wk-1/0, anything, wk-1 is cancelled, 0, 4, 32",
     "anything, anything, nothing, 0, 8, 56",
-    "anything, anything, wk-1 is called off, 0, 4, 60",
+    "anything, anything, wk-1 is cancelled, 0, 4, 60",
   })
-  void countsEachMachineByItself(
+  void usageIsTheSumOfWhatEachMachineMayHold(
       String first,
       String second,
       String event,
@@ -120,15 +120,16 @@
   }
 
   /**
-   * What an old report shows ends with the next one; the record of the other machine still counts.
+   * What an old heartbeat shows ends with the next one; the entry of the other machine still
+   * counts.
    */
   @ParameterizedTest
-  @CsvSource({"nothing, 4", "wk-1 is called off, 4"})
-  void anOldReportTakesNothingFromARecord(String event, double counted) {
+  @CsvSource({"nothing, 4", "wk-1 is cancelled, 4"})
+  void oldHeartbeatTakesNothingFromRegistryEntry(String event, double counted) {
     registered("host-1", "wk-1/0");
     registered("host-3", "wk-2/0");
     open("wk-1");
-    apply("an old report of host-3 shows wk-1/0");
+    apply("an old heartbeat of host-3 shows wk-1/0");
     apply(event);
     apply("host-3 holds nothing");
     assertEquals(counted, counted().counted());
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -14,7 +14,7 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Machines whose reports come, and that receive nothing of what they are sent. */
+/** Machines whose heartbeats arrive, and that receive nothing of what they are sent. */
 class UnresponsiveMachineTest extends ClusterTestBase {
   private CommandBatch lostLaunch(Machine machine) {
     CommandBatch batch = launch(machine);
@@ -23,21 +23,22 @@
   }
 
   /**
-   * Reports, sessions and answers to calls of a machine, and whether it still gets work and is
-   * worth its price.
+   * Heartbeats, epochs and responses to commands of a machine, and whether it still gets tasks or
+   * is returned.
    */
   @ParameterizedTest
   @CsvSource({
-    "session rises although answered,     false, true",
-        "session rises after a silence,       true, false",
-    "launch is never seen,                false, true",
-        "launch is seen,                      true, false",
-    "session rises and a call is answered, true, false"
+    "epoch rises although its lease was renewed, false, true",
+    "epoch rises after a silence, true, false",
+    "launch is never seen, false, true",
+    "launch is seen, true, false",
+    "epoch rises and a status is received, true, false"
   })
-  void anUnresponsiveMachineGetsNoWorkAndIsReturned(String what, boolean usable, boolean returned) {
+  void unresponsiveMachineIsNotSchedulableAndIsReturned(
+      String what, boolean usable, boolean returned) {
     Machine machine = up("host-1");
     job(101);
-    long session = 1;
+    long epoch = 1;
     if (what.startsWith("launch")) {
       CommandBatch batch = lostLaunch(machine);
       if (what.endsWith("is seen")) {
@@ -55,17 +56,17 @@
                     ExitReason.NONE)));
       }
     } else {
-      session = 2;
+      epoch = 2;
       loop.pass(what.contains("silence") ? TestData.LEASE_S + 1 : 3);
     }
     for (int i = 0; i < 9; i++) {
       if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
-        cluster.heartbeatReceived(report("host-1", session, ++sequence, TERM));
+        cluster.heartbeatReceived(report("host-1", epoch, ++sequence, TERM));
       } else {
         machine.health().countSilenceFrom(loop.now());
       }
       cluster.unresponsiveMachines().detect();
-      if (what.endsWith("is answered")) {
+      if (what.endsWith("is received")) {
         cluster.batchCompleted(
             new CommandBatch(machine, 2, List.of(), List.of()),
             DeliveryOutcome.EXECUTED,
@@ -78,19 +79,20 @@
   }
 
   /**
-   * Nothing was heard for a while because this node stood still: hundreds must not count as silent
-   * or deaf for it.
+   * Nothing was received for a while because this controller paused: hundreds of machines must not
+   * count as silent or unresponsive for it.
    */
   @ParameterizedTest
   @CsvSource({"true, true", "false, false"})
-  void aStandstillOfOursIsNoMachinesFault(boolean noticed, boolean usable) {
+  void pauseOfThisControllerMakesNoMachineSilentOrUnresponsive(
+      boolean pauseDetected, boolean usable) {
     job(101);
     Machine machine = up("host-1");
     Machine other = up("host-2");
     CommandBatch batch = launch(other);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     loop.standStill(10);
-    if (noticed) {
+    if (pauseDetected) {
       cluster.onProcessPause();
     }
     cluster.registry().cordonSilent();
@@ -101,10 +103,10 @@
     assertEquals(
         !usable,
         other.health().isUnresponsive(),
-        "it had no chance to show that it heard the launch");
+        "it had no chance to show that it received the launch");
     loop.pass(TestData.LEASE_S - 9);
     cluster.expireLeases();
-    assertEquals(0, other.taskCount(), "what it was told counts from when it was told");
+    assertEquals(0, other.taskCount(), "its lease counts from its last renewal");
   }
 
   /**
@@ -112,7 +114,7 @@
    * back.
    */
   @Test
-  void aMachineThatNeverLearnsOfTheTermHoldsUpNobody() {
+  void olderJobWaitsForMachineThatNeverReconcilesUntilItIsRemoved() {
     cluster.addRegistered("host-1", 60, null);
     job(1);
     for (int i = 0; i < 8; i++) {
@@ -122,18 +124,18 @@
     }
     cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM - 1));
     assertFalse(
-        placeable(), "an order of an earlier leader, which knew this session, may still arrive");
+        placeable(), "a launch of an earlier leader, which knew this epoch, may still arrive");
     assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
     cluster.machineRemoved(machine("host-1"), "returned");
     assertTrue(placeable());
   }
 
   /**
-   * In the term that started it, the next session of a deaf machine is proof that the task is not
-   * there.
+   * In the term that launched it, the next epoch of an unresponsive machine is proof that the task
+   * is not there.
    */
   @Test
-  void theNextSessionFreesWhatAnUnresponsiveMachineHeld() {
+  void newEpochOfUnresponsiveMachineFreesItsLaunchedTasks() {
     Machine machine = up("host-1");
     job(101);
     lostLaunch(machine);
@@ -144,9 +146,9 @@
     assertFalse(machine.isSchedulable(loop.now()), "but not there");
   }
 
-  /** When most machines seem deaf, it is this node that cannot be heard. */
+  /** When most machines seem unresponsive, it is this controller that cannot be heard. */
   @Test
-  void aLeaderThatNoMachineReceivesReturnsNothing() {
+  void noMachineIsUnusableWhenManySeemUnresponsive() {
     List<Machine> all = new java.util.ArrayList<>();
     for (int i = 0; i < 10; i++) {
       all.add(up("host-" + i));
