--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
@@ -81,32 +82,29 @@
         pullingTasks += attempt.state() == Attempt.State.PULLING_IMAGE ? 1 : 0;
       }
     }
+    return String.format(
+        Locale.ROOT,
+        "machines=%d up=%d not_up=%d unreconciled=%d cpus_up=%d cpus_used=%d cpus_running=%d"
+            + " open_jobs=%d waiting_tasks=%d pulling_tasks=%d jobs_waiting_for_dependencies=%d",
+        machines.all().size(),
+        up,
+        notUp,
+        reconciliation.machines().size(),
+        Math.round(upCpus),
+        Math.round(usedCpus),
+        Math.round(runningCpus),
+        jobs.all().size(),
+        waitingTasks(),
+        pullingTasks,
+        jobs.dependencies().waitingCount());
+  }
+
+  private int waitingTasks() {
     int waitingTasks = 0;
     for (Job job : jobs.all()) {
       waitingTasks += job.isReady() ? job.waitingTasks().cardinality() : 0;
     }
-    return "machines="
-        + machines.all().size()
-        + " up="
-        + up
-        + " not_up="
-        + notUp
-        + " unreconciled="
-        + reconciliation.machines().size()
-        + " cpus_up="
-        + Math.round(upCpus)
-        + " cpus_used="
-        + Math.round(usedCpus)
-        + " cpus_running="
-        + Math.round(runningCpus)
-        + " open_jobs="
-        + jobs.all().size()
-        + " waiting_tasks="
-        + waitingTasks
-        + " pulling_tasks="
-        + pullingTasks
-        + " jobs_waiting_for_dependencies="
-        + jobs.dependencies().waitingCount();
+    return waitingTasks;
   }
 
   // For the scheduling cycle
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -95,12 +95,12 @@
     return new MachineKind(type, zone, spot);
   }
 
-  /** The name of its type; null as long as neither the cloud nor the worker has told it. */
+  /** The name of its type; null as long as neither the cloud nor the worker has named it. */
   public @Nullable String type() {
     return type;
   }
 
-  /** Null as long as neither the cloud nor the worker has told it. */
+  /** Null as long as neither the cloud nor the worker has named it. */
   public @Nullable String zone() {
     return zone;
   }
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -51,8 +51,8 @@
    * placed again when the cloud has confirmed that, or, in the term that launched them, with the
    * machine's next epoch: launches name the epoch, so none of ours can be executed in a later one.
    * An epoch that is new to this term proves nothing of what earlier leaders did: they may have
-   * known it, and a launch of theirs may still arrive there as long as the machine has not seen our
-   * token. So that is not relied on.
+   * known it, and a launch of theirs may still arrive there as long as the machine does not know
+   * our token. So that is not relied on.
    */
   public void detect() {
     double now = loop.now();
