--- a/src/main/java/org/saffronshore/autoscaling/Consolidation.java
+++ b/src/main/java/org/saffronshore/autoscaling/Consolidation.java
@@ -54,7 +54,7 @@
         draining++;
         continue;
       }
-      Resources free = machine.isEmpty() ? null : cluster.view().freeOn(machine);
+      Resources free = machine.isEmpty() ? null : cluster.view().freeResources(machine);
       if (free != null) {
         freeByMachine.put(machine, free);
         if (isCandidate(machine, now)) {
@@ -68,7 +68,7 @@
   }
 
   private boolean isCandidate(Machine machine, double now) {
-    return cluster.view().movable(machine, MIN_RUN_S) && now > machine.rentedAt() + MIN_BILLED_S;
+    return cluster.view().isMovable(machine, MIN_RUN_S) && now > machine.rentedAt() + MIN_BILLED_S;
   }
 
   private void drain(
--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -1,5 +1,6 @@
 package org.saffronshore.control;
 
+import org.saffronshore.cluster.DeliveryOutcome;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.CommandBatch;
@@ -97,13 +98,21 @@
         && term.stepDownIfSuperseded(heartbeat.machine(), heartbeat.fencingToken())) {
       return;
     }
-    boolean surelyNotExecuted =
-        response.equals(Response.NOT_SENT) || result.outcome() == CommandResponse.Outcome.REJECTED;
-    cluster.batchCompleted(
-        batch, result.outcome() == CommandResponse.Outcome.EXECUTED, surelyNotExecuted, heartbeat);
+    cluster.batchCompleted(batch, deliveryOutcome(response, result), heartbeat);
     dueWork.run();
   }
 
+  private static DeliveryOutcome deliveryOutcome(Response response, CommandResponse result) {
+    if (response.equals(Response.NOT_SENT)) {
+      return DeliveryOutcome.NOT_EXECUTED;
+    }
+    return switch (result.outcome()) {
+      case EXECUTED -> DeliveryOutcome.EXECUTED;
+      case REJECTED -> DeliveryOutcome.NOT_EXECUTED;
+      case UNKNOWN -> DeliveryOutcome.UNKNOWN;
+    };
+  }
+
   private static CommandResponse parse(CommandBatch batch, Response response) {
     try {
       return CommandResponse.parse(response.status(), response.body());
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -7,6 +7,7 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
+import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Set;
@@ -18,7 +19,6 @@
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
-import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 
 /**
@@ -27,20 +27,19 @@
  */
 class AttemptEndTest extends ClusterTestBase {
   @Test
-  void aSilentMachineHoldsItsTasksForItsLease() {
+  void tasksOfSilentMachineArePlaceableAgainAfterItsLeaseHasExpired() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
     assertFalse(placeable());
@@ -53,41 +52,39 @@
             1,
             70,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "a late report of a session that is over changes nothing");
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+    assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
   }
 
   @Test
-  void directAnswersRenewNoLease() {
+  void statusInCommandResponseRenewsNoLease() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(2);
     cluster.expireLeases();
     assertTrue(placeable());
   }
 
   @Test
-  void olderReportsChangeNothing() {
+  void olderHeartbeatIsIgnored() {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
-    long attempt = call.launches().get(0).number();
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
+    long attempt = batch.launches().get(0).number();
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(report("host-1", 1, 49, TERM));
@@ -95,13 +92,13 @@
     assertFalse(placeable());
   }
 
-  /** Known since, missing from a list that was asked for then: is it gone? */
+  /** For how long it was known when the list was requested, and whether the list removes it. */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
-  void aListProvesAbsenceOnlyWhenItIsNewEnough(double age, boolean removed) {
+  void machineIsRemovedOnlyByListRequestedWellAfterItWasKnown(double age, boolean removed) {
     job(101);
-    Machine m = up("host-1");
-    launch(m);
+    Machine machine = up("host-1");
+    launch(machine);
     loop.pass(age);
     cluster.removeUnlisted(Set.of(), loop.now());
     assertEquals(removed, cluster.machine("host-1") == null);
@@ -109,18 +106,18 @@
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(report("host-1", 1, 99, TERM)),
-          "its late reports are not answered");
+          "its late heartbeats are not taken");
     }
   }
 
   @Test
-  void aFailedMachineHoldsNothing() {
+  void tasksOfFailedMachineArePlaceableAgain() {
     job(101);
-    Machine m = up("host-1");
-    launch(m);
+    Machine machine = up("host-1");
+    launch(machine);
     cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, true, 50));
     assertTrue(placeable());
-    assertFalse(m.isSchedulable(loop.now()));
+    assertFalse(machine.isSchedulable(loop.now()));
   }
 
   @ParameterizedTest
@@ -134,30 +131,29 @@
         "UNKNOWN_TASK",
         "COMPLETED"
       })
-  void onlyDoneIsDone(ExitReason why) {
+  void taskIsFinishedOnlyWhenItsExitReasonIsCompleted(ExitReason reason) {
     job(101);
-    Machine m = up("host-1");
-    CommandBatch call = launch(m);
+    Machine machine = up("host-1");
+    CommandBatch batch = launch(machine);
     cluster.batchCompleted(
-        call,
-        true,
-        false,
+        batch,
+        DeliveryOutcome.EXECUTED,
         report(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, call.launches().get(0).number(), TaskState.EXITED, why)));
-    assertEquals(why == ExitReason.COMPLETED, cluster.job("wk-1").isComplete());
-    assertEquals(why != ExitReason.COMPLETED, placeable());
+            task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, reason)));
+    assertEquals(reason == ExitReason.COMPLETED, openJob("wk-1").isComplete());
+    assertEquals(reason != ExitReason.COMPLETED, placeable());
     assertEquals(
-        why != ExitReason.COMPLETED,
-        ops(cluster.responseCommands(m)).contains(Command.Action.REAP),
+        reason != ExitReason.COMPLETED,
+        ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
         "a result is kept until the state service knows of it");
   }
 
   @Test
-  void tellsABadMachineFromABadJob() {
+  void machineThatFailsJobsIsQuarantinedAndJobThatFailsOnMachinesBacksOff() {
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
@@ -167,7 +163,7 @@
           Integer.MAX_VALUE);
     }
     Machine bad = up("host-1");
-    for (int i = 0; i < Cluster.MAX_CONSECUTIVE_FAILURES; i++) {
+    for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
           report(
               "host-1",
@@ -184,7 +180,7 @@
               task("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertTrue(bad.isQuarantined());
-    assertEquals(2, cluster.view().pending(true).size(), "the jobs are not to blame");
+    assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
 
     for (int i = 2; i < 5; i++) {
       up("host-" + i);
@@ -204,7 +200,7 @@
               task("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertEquals(
-        List.of("wk-0"), cluster.view().pending(true).stream().map(p -> p.job().id()).toList());
-    assertFalse(cluster.machine("host-4").isQuarantined());
+        List.of("wk-0"), cluster.view().pendingJobs(true).stream().map(job -> job.job().id()).toList());
+    assertFalse(machine("host-4").isQuarantined());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -6,42 +6,43 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
+import org.saffronshore.JobBuilder;
+import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.saffronshore.JobBuilder;
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Sessions, zones and back-offs when several faults meet. */
+/** Epochs, zones and backoffs when several faults meet. */
 class EpochAndZoneTest extends ClusterTestBase {
   /**
-   * A machine that reaches no controller is asked by the new leader, and answers from a session
-   * that began a moment ago, when the last one's lease was over. That session's lease is as long
-   * again, whoever was last answered when.
+   * A machine that reaches no controller is sent a command by the new leader, and responds from an
+   * epoch that began a moment ago, when the last one's lease had expired. The new epoch's lease is
+   * as long again, whenever the last one was renewed.
    */
   @ParameterizedTest
   @CsvSource({"0.5, false", "1.1, true"})
-  void aSessionFoundByACallHasAWholeLease(double leasesLater, boolean placeable) {
+  void epochFoundByDirectCommandHasAWholeLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    cluster.machineListed(
-        new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
-    Machine m = cluster.machine("host-1");
-    cluster.batchCompleted(cluster.nextBatch(m), true, false, report("host-1", 1, ++seq, TERM));
-    cluster.registry().markRegistered(List.of(m));
+    cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
+    Machine machine = machine("host-1");
+    cluster.batchCompleted(
+        nextBatch(machine), DeliveryOutcome.EXECUTED, report("host-1", 1, ++sequence, TERM));
+    cluster.registry().markRegistered(List.of(machine));
     job(KEY + 1);
     loop.pass(TestData.LEASE_S * 0.7);
     cluster.directStatusReceived(
-        m,
-        report("host-1", 2, ++seq, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        machine,
+        report(
+            "host-1", 2, ++sequence, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(placeable());
     loop.pass(TestData.LEASE_S * leasesLater);
     cluster.expireLeases();
@@ -49,28 +50,28 @@
   }
 
   /**
-   * Answers to calls say nothing of whether a worker reaches us: what it is given would end with
-   * its lease.
+   * Responses to commands say nothing of whether a worker reaches us: what it is given would end
+   * with its lease.
    */
   @Test
-  void aMachineThatOnlyAnswersCallsGetsNoMoreWork() {
-    Machine m = up("host-1");
+  void machineThatOnlyRespondsToCommandsIsNotSchedulable() {
+    Machine machine = up("host-1");
     for (int i = 0; i < 6; i++) {
       loop.pass(TestData.settings().heartbeatIntervalS() / 2);
-      cluster.directStatusReceived(m, report("host-1", 1, ++seq, TERM));
+      cluster.directStatusReceived(machine, report("host-1", 1, ++sequence, TERM));
     }
-    assertTrue(cluster.view().hosts().isEmpty());
-    cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM));
-    assertEquals(1, cluster.view().hosts().size());
+    assertTrue(cluster.view().schedulableMachines().isEmpty());
+    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    assertEquals(1, cluster.view().schedulableMachines().size());
   }
 
   /**
-   * A task on a machine that nobody has found yet is in a zone that nobody knows: the others cannot
-   * choose theirs.
+   * A task on a machine that is not reconciled may be in any zone: the others cannot choose theirs.
    */
   @ParameterizedTest
   @CsvSource({"false, false, true", "true, false, false", "false, true, false"})
-  void aJobBoundToZonesWaitsForItsUnseenTasks(boolean oneZone, boolean spread, boolean placeable) {
+  void jobWithZoneConstraintWaitsForUnreconciledMachinesThatMayRunIt(
+      boolean oneZone, boolean spread, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     up("host-2");
     boundToZones(oneZone, spread, 2);
@@ -82,8 +83,8 @@
   }
 
   /**
-   * An old report of a machine that is not accounted for shows a task that may be elsewhere by now:
-   * it does not tell the job's zone.
+   * An old heartbeat of an unreconciled machine shows a task that may be elsewhere by now: it does
+   * not tell the job's zone.
    */
   @ParameterizedTest
   @CsvSource({
@@ -92,30 +93,36 @@
     "true, wk-1/0, false",
     "true, wk-2/0, false",
   })
-  void anOldReportDoesNotTellTheZone(boolean oneZone, String heldByUnseen, boolean placeable) {
+  void heartbeatOfUnreconciledMachineDoesNotTellTheZoneOfItsTask(
+      boolean oneZone, String possibleOnThird, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    Set<TaskId> held =
-        heldByUnseen.isEmpty() ? null : Set.of(new TaskId(heldByUnseen.substring(0, 4), 0));
-    cluster.addRegistered("host-3", 90, held);
+    Set<TaskId> possibleTasks =
+        possibleOnThird.isEmpty() ? null : Set.of(new TaskId(possibleOnThird.substring(0, 4), 0));
+    cluster.addRegistered("host-3", 90, possibleTasks);
     up("host-2");
     boundToZones(oneZone, false, 1);
     cluster.heartbeatReceived(
         report(
-            "host-1", 1, ++seq, TERM - 1, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+            "host-1",
+            1,
+            ++sequence,
+            TERM - 1,
+            task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertEquals(placeable, placeable(), "its other tasks were never launched");
     cluster.heartbeatReceived(
-        report("host-1", 1, ++seq, TERM, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+        report(
+            "host-1", 1, ++sequence, TERM, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(placeable(), "the task is there, and so nowhere else");
   }
 
-  private void boundToZones(boolean oneZone, boolean spread, int launchMark) {
+  private void boundToZones(boolean oneZone, boolean spread, int launchWatermark) {
     JobSpec plain = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
     cluster.addJob(
         JobBuilder.copyOf(plain).zoneConstraints(oneZone, spread).build(),
         1,
         0,
         new BitSet(),
-        launchMark);
+        launchWatermark);
   }
 
   /**
@@ -123,7 +130,7 @@
    * for long.
    */
   @Test
-  void noJobIsLeftAloneForLongerThanALease() {
+  void jobBackoffIsNeverLongerThanALease() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 40, 1),
         KEY + 1,
@@ -134,12 +141,16 @@
       up("host-" + i);
       cluster.heartbeatReceived(
           report(
-              "host-" + i, 1, ++seq, TERM, task("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
+              "host-" + i,
+              1,
+              ++sequence,
+              TERM,
+              task("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
       cluster.heartbeatReceived(
           report(
               "host-" + i,
               1,
-              ++seq,
+              ++sequence,
               TERM,
               task("wk-1", i, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -17,46 +17,46 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Reports that arrive late, or again. */
+/** Heartbeats that arrive late, or again. */
 class LateHeartbeatTest extends ClusterTestBase {
   /**
-   * A copy of a report, and what it must not do to a task that runs on host-1, session 2, of this
-   * term.
+   * Epoch, sequence and shown state of a copy that must not change a task which runs on host-1 in
+   * epoch 2 of this term.
    */
   @ParameterizedTest
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
-  void aLateCopyChangesNothing(long session, long tick, String shows) {
+  void lateCopyOfHeartbeatDoesNotChangeRunningTask(long epoch, long sequenceNumber, String shows) {
     cluster.heartbeatReceived(report("host-1", 2, 1, TERM));
-    Machine m = cluster.machine("host-1");
-    cluster.registry().markRegistered(List.of(m));
+    Machine machine = machine("host-1");
+    cluster.registry().markRegistered(List.of(machine));
     job(101);
-    long attempt = launch(m).launches().get(0).number();
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 2, 9, TERM, 60.0, List.of(running)));
     Heartbeat copy =
         shows.equals("none")
-            ? report("host-1", session, tick, TERM)
+            ? report("host-1", epoch, sequenceNumber, TERM)
             : report(
                 "host-1",
-                session,
-                tick,
+                epoch,
+                sequenceNumber,
                 TERM,
                 task("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
-    assertEquals(1, cluster.job("wk-1").runningTaskCount());
+    assertEquals(1, openJob("wk-1").runningTaskCount());
     assertFalse(placeable());
-    assertEquals(2, m.epoch);
-    assertTrue(m.hasPreemptionNotice(), "a notice is not undone");
+    assertEquals(2, machine.epochs().epoch());
+    assertTrue(machine.hasPreemptionNotice(), "a notice is not undone");
   }
 
   /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
   @Test
-  void copiesDoNotHoldALostMachinesTasksWithoutEnd() {
-    Machine m = up("host-1");
+  void copiesOfHeartbeatDoNotExtendTheLeaseOfLostMachine() {
+    Machine machine = up("host-1");
     job(101);
-    long attempt = launch(m).launches().get(0).number();
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat last =
         report("host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE));
     cluster.heartbeatReceived(last);
@@ -72,23 +72,23 @@
     assertTrue(placeable());
     cluster.heartbeatReceived(last);
     assertTrue(placeable(), "a copy over a lease old brings nothing back");
-    assertFalse(m.isSchedulable(loop.now()));
-    assertEquals(0, cluster.view().hosts().size());
+    assertFalse(machine.isSchedulable(loop.now()));
+    assertEquals(0, cluster.view().schedulableMachines().size());
   }
 
   /**
-   * An original that is late may still be answered in time, and so renews the lease from when it
+   * The response to a late heartbeat may still arrive in time, and so renews the lease from when it
    * was sent.
    */
   @Test
-  void aLateOriginalMayRenewTheLease() {
-    Machine m = up("host-1");
+  void lateHeartbeatRenewsTheLeaseFromWhenItWasSent() {
+    Machine machine = up("host-1");
     job(101);
-    CommandBatch call = launch(m);
+    CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     Heartbeat.TaskStatus running =
-        task("wk-1", 0, call.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
-    cluster.batchCompleted(call, true, false, report("host-1", 1, 60, TERM, running));
+        task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
+    cluster.batchCompleted(batch, DeliveryOutcome.EXECUTED, report("host-1", 1, 60, TERM, running));
     loop.pass(2);
     cluster.heartbeatReceived(report("host-1", 1, 59, TERM));
     cluster.expireLeases();
@@ -99,21 +99,20 @@
   }
 
   @Test
-  void aCopyBringsNoReturnedMachineBack() {
-    Machine m = up("host-1");
-    cluster.machineRemoved(m, "returned");
+  void copyOfHeartbeatDoesNotBringRemovedMachineBack() {
+    Machine machine = up("host-1");
+    cluster.machineRemoved(machine, "returned");
     assertNull(cluster.heartbeatReceived(report("host-1", 1, 99, TERM)));
     assertNull(cluster.machine("host-1"));
   }
 
   /**
-   * After a change of leader nothing newer is known: a copy of long ago must not pass for a machine
-   * with room.
+   * After a failover nothing newer is known: a copy of long ago must not count as free capacity.
    */
   @Test
-  void aCopyFromAnEarlierTermIsNoCapacity() {
+  void machineKnownByOldHeartbeatOnlyIsNoCapacity() {
     cluster.heartbeatReceived(report("host-1", 1, 99, TERM - 2));
-    assertEquals(0, cluster.view().hosts().size());
+    assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
     assertEquals(
         0,
@@ -123,11 +122,9 @@
     assertNull(cluster.machine("host-1"));
   }
 
-  /**
-   * A copy shows a task where it is not any more; the machine where it truly runs must not lose it.
-   */
+  /** A copy shows a task where it is not any more; it must not be stopped where it truly runs. */
   @Test
-  void aCopyDoesNotEndWhatTrulyRunsElsewhere() {
+  void copyOfHeartbeatDoesNotStopTaskOnReconciledMachine() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     job(1);
@@ -135,16 +132,16 @@
     Heartbeat.TaskStatus now = task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(report("host-1", 1, 5, TERM - 1, old));
     cluster.heartbeatReceived(report("host-2", 1, 1, TERM, now));
-    Machine second = cluster.machine("host-2");
+    Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().stopping());
     cluster.heartbeatReceived(report("host-1", 1, 90, TERM));
     assertFalse(placeable(), "it runs on host-2");
-    assertEquals(1, cluster.job("wk-1").runningTaskCount());
+    assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
   /** What is in two places is stopped in one; and only when it is in neither may it start again. */
   @Test
-  void aTaskInTwoPlacesWaitsForBoth() {
+  void taskOnTwoMachinesIsStoppedOnOneAndPlaceableWhenOnNeither() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     job(1);
@@ -152,12 +149,12 @@
         report("host-1", 1, 5, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(
         report("host-2", 1, 5, TERM, task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE)));
-    Machine first = cluster.machine("host-1");
-    Machine second = cluster.machine("host-2");
+    Machine first = machine("host-1");
+    Machine second = machine("host-2");
     assertEquals(
         1,
         List.of(first, second).stream()
-            .filter(m -> m.attempts().iterator().next().stopping())
+            .filter(machine -> machine.attempts().iterator().next().stopping())
             .count());
     cluster.heartbeatReceived(report("host-1", 1, 6, TERM));
     assertFalse(placeable());
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -6,47 +6,48 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
+import org.saffronshore.JobBuilder;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.saffronshore.JobBuilder;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** Machines that are taken back, or emptied and returned. */
+/** Machines that the cloud takes back, or that are drained and returned. */
 class MachineRemovalTest extends ClusterTestBase {
   /**
-   * Saves or not, estimate of 30 s, seconds run before a notice of 14 s: is the task stopped for it
-   * at once?
+   * Whether the task saves checkpoints, the seconds that it ran of an estimated 30 s before a
+   * notice of 14 s, and whether it is stopped at once.
    */
   @ParameterizedTest
   @CsvSource({"true, 1, true", "true, 24, false", "false, 1, true", "false, 20, false"})
-  void aNoticeStopsWhatCannotEndInTime(boolean saves, double ran, boolean stopped) {
+  void preemptionNoticeStopsTasksThatCannotEndInTime(
+      boolean supportsCheckpoints, double ranS, boolean stopped) {
     JobSpec job =
         JobBuilder.job("wk-1", "red", Priority.STANDARD)
             .cpus(4)
-            .checkpoints(saves ? 10 : 0, saves ? 2 : 0)
+            .checkpoints(supportsCheckpoints ? 10 : 0, supportsCheckpoints ? 2 : 0)
             .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine m = up("host-1");
-    long attempt = launch(m).launches().get(0).number();
+    Machine machine = up("host-1");
+    long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(report("host-1", 1, 50, TERM, running));
-    loop.pass(ran);
+    loop.pass(ranS);
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 1, 51, TERM, 14.0, List.of(running)));
-    assertEquals(stopped, m.attempts().iterator().next().stopping());
-    assertFalse(m.isSchedulable(loop.now()));
+    assertEquals(stopped, machine.attempts().iterator().next().stopping());
+    assertFalse(machine.isSchedulable(loop.now()));
   }
 
   @Test
-  void onlyWhatSavesAndRanForAWhileIsMoved() {
+  void machineIsMovableOnlyOnceItsCheckpointingTasksRanForAWhile() {
     JobSpec job =
         JobBuilder.job("wk-1", "red", Priority.STANDARD)
             .cpus(4)
@@ -54,19 +55,19 @@
             .checkpoints(10, 2)
             .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine m = up("host-1");
-    long attempt = launch(m).launches().get(0).number();
+    Machine machine = up("host-1");
+    long attempt = launch(machine).launches().get(0).number();
     cluster.heartbeatReceived(
         report(
             "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
-    assertFalse(cluster.view().movable(m, 10));
+    assertFalse(cluster.view().isMovable(machine, 10));
     loop.pass(11);
     cluster.heartbeatReceived(
         report(
             "host-1", 1, 51, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(cluster.view().movable(m, 10));
-    cluster.drain(m);
-    assertTrue(m.isDraining() && !m.isSchedulable(loop.now()));
+    assertTrue(cluster.view().isMovable(machine, 10));
+    cluster.drain(machine);
+    assertTrue(machine.isDraining() && !machine.isSchedulable(loop.now()));
     assertFalse(placeable(), "it is there until it has saved");
   }
 }
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -4,8 +4,10 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
+import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.HashSet;
+import java.util.Objects;
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -13,54 +15,53 @@
 import org.saffronshore.scheduling.QuotaUsage;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
-import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
 /**
- * What counts against a limit while machines are unaccounted for. Tasks take 4 CPUs, machines have
- * 32; wk-1 and wk-2 of team red have two tasks each, of which the first of each was launched.
+ * What counts against a limit while machines are unreconciled. Tasks take 4 CPUs, machines have 32;
+ * wk-1 and wk-2 of team red have two tasks each, of which the first of each was launched.
  */
 class QuotaAccountingTest extends ClusterTestBase {
   private static final double LIMIT_CPUS = 64;
 
   private void registered(String id, String tasks) {
-    Set<TaskId> held = null;
+    Set<TaskId> possibleTasks = null;
     if (!tasks.equals("anything")) {
-      held = new HashSet<>();
+      possibleTasks = new HashSet<>();
       for (String name : tasks.split(" ", -1)) {
-        held.add(new TaskId(name.substring(0, 4), Integer.parseInt(name.substring(5))));
+        possibleTasks.add(new TaskId(name.substring(0, 4), Integer.parseInt(name.substring(5))));
       }
     }
-    cluster.addRegistered(id, 0, held);
+    cluster.addRegistered(id, 0, possibleTasks);
     cluster.machineListed(new ListedMachine(id, null, "big", "a", true, false, 90));
   }
 
   private QuotaUsage.Amounts counted() {
-    return teams().get("red").quotaUsage().cpus();
+    return Objects.requireNonNull(teams().get("red")).quotaUsage().cpus();
   }
 
   private void apply(String event) {
     switch (event) {
-      case "wk-1 is called off" -> cluster.removeJob("wk-1");
-      case "wk-1 is done" -> {
+      case "wk-1 is cancelled" -> cluster.removeJob("wk-1");
+      case "wk-1 completes" -> {
         for (int i = 0; i < 2; i++) {
           cluster.heartbeatReceived(
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", i, 7, TaskState.EXITED, ExitReason.COMPLETED)));
         }
         cluster.removeJob("wk-1");
       }
-      case "wk-1/0 is done" ->
+      case "wk-1/0 completes" ->
           cluster.heartbeatReceived(
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", 0, 7, TaskState.EXITED, ExitReason.COMPLETED)));
       case "host-1 shows wk-1/0" ->
@@ -68,18 +69,19 @@
               report(
                   "host-1",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM,
                   task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-      case "an old report of host-3 shows wk-1/0" ->
+      case "an old heartbeat of host-3 shows wk-1/0" ->
           cluster.heartbeatReceived(
               report(
                   "host-3",
                   1,
-                  ++seq,
+                  ++sequence,
                   TERM - 1,
                   task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-      case "host-3 holds nothing" -> cluster.heartbeatReceived(report("host-3", 1, ++seq, TERM));
+      case "host-3 holds nothing" ->
+          cluster.heartbeatReceived(report("host-3", 1, ++sequence, TERM));
       default -> assertEquals("nothing", event);
     }
   }
@@ -87,9 +89,9 @@
   @ParameterizedTest
   @CsvSource({
     "wk-1/0, wk-2/0, nothing, 0, 8, 0",
-    "wk-1/0, wk-2/0, wk-1 is called off, 0, 4, 4",
-    "wk-1/0, wk-2/0, wk-1 is done, 0, 4, 0",
-    "wk-1/0, wk-2/0, wk-1/0 is done, 0, 4, 0",
+    "wk-1/0, wk-2/0, wk-1 is cancelled, 0, 4, 4",
+    "wk-1/0, wk-2/0, wk-1 completes, 0, 4, 0",
+    "wk-1/0, wk-2/0, wk-1/0 completes, 0, 4, 0",
     "wk-1/0, wk-2/0, host-1 shows wk-1/0, 4, 4, 0",
     // Two records may name one task; it is on one machine only.
     "wk-1/0, wk-1/0, nothing, 0, 4, 0",
@@ -98,11 +100,11 @@
     "wk-1/0 wk-9/0, wk-2/0, nothing, 0, 8, 28",
     // A machine that may hold anything counts beside one that is written down.
     "wk-1/0, anything, nothing, 0, 8, 28",
-    "wk-1/0, anything, wk-1 is called off, 0, 4, 32",
+    "wk-1/0, anything, wk-1 is cancelled, 0, 4, 32",
     "anything, anything, nothing, 0, 8, 56",
-    "anything, anything, wk-1 is called off, 0, 4, 60",
+    "anything, anything, wk-1 is cancelled, 0, 4, 60",
   })
-  void countsEachMachineByItself(
+  void usageIsTheSumOfWhatEachMachineMayHold(
       String first,
       String second,
       String event,
@@ -119,15 +121,16 @@
   }
 
   /**
-   * What an old report shows ends with the next one; the record of the other machine still counts.
+   * What an old heartbeat shows ends with the next one; the entry of the other machine still
+   * counts.
    */
   @ParameterizedTest
-  @CsvSource({"nothing, 4", "wk-1 is called off, 4"})
-  void anOldReportTakesNothingFromARecord(String event, double counted) {
+  @CsvSource({"nothing, 4", "wk-1 is cancelled, 4"})
+  void oldHeartbeatTakesNothingFromRegistryEntry(String event, double counted) {
     registered("host-1", "wk-1/0");
     registered("host-3", "wk-2/0");
     open("wk-1");
-    apply("an old report of host-3 shows wk-1/0");
+    apply("an old heartbeat of host-3 shows wk-1/0");
     apply(event);
     apply("host-3 holds nothing");
     assertEquals(counted, counted().counted());
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -14,95 +14,99 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Machines whose reports come, and that receive nothing of what they are sent. */
+/** Machines whose heartbeats arrive, and that receive nothing of what they are sent. */
 class UnresponsiveMachineTest extends ClusterTestBase {
-  private CommandBatch lostLaunch(Machine m) {
-    CommandBatch call = launch(m);
-    cluster.batchCompleted(call, false, false, null);
-    return call;
+  private CommandBatch lostLaunch(Machine machine) {
+    CommandBatch batch = launch(machine);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
+    return batch;
   }
 
   /**
-   * Reports, sessions and answers to calls of a machine, and whether it still gets work and is
-   * worth its price.
+   * Heartbeats, epochs and responses to commands of a machine, and whether it still gets tasks or
+   * is returned.
    */
   @ParameterizedTest
   @CsvSource({
-    "session rises although answered,     false, true",
-        "session rises after a silence,       true, false",
-    "launch is never seen,                false, true",
-        "launch is seen,                      true, false",
-    "session rises and a call is answered, true, false"
+    "epoch rises although its lease was renewed, false, true",
+    "epoch rises after a silence, true, false",
+    "launch is never seen, false, true",
+    "launch is seen, true, false",
+    "epoch rises and a status is received, true, false"
   })
-  void anUnresponsiveMachineGetsNoWorkAndIsReturned(String what, boolean usable, boolean returned) {
-    Machine m = up("host-1");
+  void unresponsiveMachineIsNotSchedulableAndIsReturned(
+      String what, boolean usable, boolean returned) {
+    Machine machine = up("host-1");
     job(101);
-    long session = 1;
+    long epoch = 1;
     if (what.startsWith("launch")) {
-      CommandBatch call = lostLaunch(m);
+      CommandBatch batch = lostLaunch(machine);
       if (what.endsWith("is seen")) {
         cluster.heartbeatReceived(
             report(
                 "host-1",
                 1,
-                ++seq,
+                ++sequence,
                 TERM,
                 task(
                     "wk-1",
                     0,
-                    call.launches().get(0).number(),
+                    batch.launches().get(0).number(),
                     TaskState.RUNNING,
                     ExitReason.NONE)));
       }
     } else {
-      session = 2;
+      epoch = 2;
       loop.pass(what.contains("silence") ? TestData.LEASE_S + 1 : 3);
     }
     for (int i = 0; i < 9; i++) {
-      if (m.taskCount() == 0 || !what.equals("launch is seen")) {
-        cluster.heartbeatReceived(report("host-1", session, ++seq, TERM));
+      if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
+        cluster.heartbeatReceived(report("host-1", epoch, ++sequence, TERM));
       } else {
-        m.lastHeartbeatAt = loop.now();
+        machine.health().countSilenceFrom(loop.now());
       }
       cluster.unresponsiveMachines().detect();
-      if (what.endsWith("is answered")) {
+      if (what.endsWith("is received")) {
         cluster.batchCompleted(
-            new CommandBatch(m, 2, List.of(), List.of()),
-            true,
-            false,
-            report("host-1", 2, ++seq, TERM));
+            new CommandBatch(machine, 2, List.of(), List.of()),
+            DeliveryOutcome.EXECUTED,
+            report("host-1", 2, ++sequence, TERM));
       }
       loop.pass(3);
     }
-    assertEquals(usable, m.isSchedulable(loop.now()));
-    assertEquals(returned, cluster.unresponsiveMachines().isUnusable(m));
+    assertEquals(usable, machine.isSchedulable(loop.now()));
+    assertEquals(returned, cluster.unresponsiveMachines().isUnusable(machine));
   }
 
   /**
-   * Nothing was heard for a while because this node stood still: hundreds must not count as silent
-   * or deaf for it.
+   * Nothing was received for a while because this controller paused: hundreds of machines must not
+   * count as silent or unresponsive for it.
    */
   @ParameterizedTest
   @CsvSource({"true, true", "false, false"})
-  void aStandstillOfOursIsNoMachinesFault(boolean noticed, boolean usable) {
+  void pauseOfThisControllerMakesNoMachineSilentOrUnresponsive(
+      boolean pauseDetected, boolean usable) {
     job(101);
-    Machine m = up("host-1");
+    Machine machine = up("host-1");
     Machine other = up("host-2");
-    CommandBatch call = launch(other);
-    cluster.batchCompleted(call, false, false, null);
+    CommandBatch batch = launch(other);
+    cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     loop.standStill(10);
-    if (noticed) {
+    if (pauseDetected) {
       cluster.onProcessPause();
     }
     cluster.registry().cordonSilent();
-    assertEquals(usable, m.isSchedulable(loop.now()));
+    assertEquals(usable, machine.isSchedulable(loop.now()));
     assertEquals(usable, cluster.registry().takeCordonedMachines().isEmpty());
-    other.lastHeartbeatAt = loop.now();
+    other.health().countSilenceFrom(loop.now());
     cluster.unresponsiveMachines().detect();
-    assertEquals(!usable, other.unresponsive, "it had no chance to show that it heard the launch");
+    assertEquals(
+        !usable,
+        other.health().isUnresponsive(),
+        "it had no chance to show that it received the launch");
     loop.pass(TestData.LEASE_S - 9);
     cluster.expireLeases();
-    assertEquals(0, other.taskCount(), "what it was told counts from when it was told");
+    assertEquals(0, other.taskCount(), "its lease counts from its last renewal");
   }
 
   /**
@@ -110,47 +114,47 @@
    * back.
    */
   @Test
-  void aMachineThatNeverLearnsOfTheTermHoldsUpNobody() {
+  void olderJobWaitsForMachineThatNeverReconcilesUntilItIsRemoved() {
     cluster.addRegistered("host-1", 60, null);
     job(1);
     for (int i = 0; i < 8; i++) {
-      cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM - 1));
+      cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM - 1));
       cluster.unresponsiveMachines().detect();
       loop.pass(3);
     }
-    cluster.heartbeatReceived(report("host-1", 2, ++seq, TERM - 1));
+    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM - 1));
     assertFalse(
-        placeable(), "an order of an earlier leader, which knew this session, may still arrive");
-    assertTrue(cluster.unresponsiveMachines().isUnusable(cluster.machine("host-1")));
-    cluster.machineRemoved(cluster.machine("host-1"), "returned");
+        placeable(), "a launch of an earlier leader, which knew this epoch, may still arrive");
+    assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
+    cluster.machineRemoved(machine("host-1"), "returned");
     assertTrue(placeable());
   }
 
   /**
-   * In the term that started it, the next session of a deaf machine is proof that the task is not
-   * there.
+   * In the term that launched it, the next epoch of an unresponsive machine is proof that the task
+   * is not there.
    */
   @Test
-  void theNextSessionFreesWhatAnUnresponsiveMachineHeld() {
-    Machine m = up("host-1");
+  void newEpochOfUnresponsiveMachineFreesItsLaunchedTasks() {
+    Machine machine = up("host-1");
     job(101);
-    lostLaunch(m);
-    cluster.heartbeatReceived(report("host-1", 1, ++seq, TERM));
+    lostLaunch(machine);
+    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
     assertFalse(placeable(), "the launch may yet arrive");
-    cluster.heartbeatReceived(report("host-1", 2, ++seq, TERM));
+    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM));
     assertTrue(placeable());
-    assertFalse(m.isSchedulable(loop.now()), "but not there");
+    assertFalse(machine.isSchedulable(loop.now()), "but not there");
   }
 
-  /** When most machines seem deaf, it is this node that cannot be heard. */
+  /** When most machines seem unresponsive, it is this controller that cannot be heard. */
   @Test
-  void aLeaderThatNoMachineReceivesReturnsNothing() {
+  void noMachineIsUnusableWhenManySeemUnresponsive() {
     List<Machine> all = new java.util.ArrayList<>();
     for (int i = 0; i < 10; i++) {
       all.add(up("host-" + i));
     }
-    for (Machine m : all) {
-      cluster.heartbeatReceived(report(m.id(), 2, ++seq, TERM));
+    for (Machine machine : all) {
+      cluster.heartbeatReceived(report(machine.id(), 2, ++sequence, TERM));
     }
     loop.pass(7);
     assertTrue(all.stream().noneMatch(cluster.unresponsiveMachines()::isUnusable));
