--- a/src/main/java/org/saffronshore/cli/ControllerCommand.java
+++ b/src/main/java/org/saffronshore/cli/ControllerCommand.java
@@ -84,7 +84,7 @@
             loop,
             loop.group(),
             new ConnectionLimit(Math.max(8, settings.maxSockets() / 6)),
-            HttpClient.IDLE_S);
+            HttpClient.MAX_IDLE_S);
     Controller node =
         new Controller(loop, settings, client, RandomGenerator.of("L64X128MixRandom"));
     node.serve(loop.group());
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -87,7 +87,7 @@
         new AdmissionQueue(
             loop,
             Map.of(
-                AdmissionQueue.RequestClass.REPORT,
+                AdmissionQueue.RequestClass.HEARTBEAT,
                 settings.maxSockets(),
                 AdmissionQueue.RequestClass.DECISION,
                 queued,
@@ -188,7 +188,7 @@
           "POST",
           request,
           reply,
-          AdmissionQueue.RequestClass.REPORT,
+          AdmissionQueue.RequestClass.HEARTBEAT,
           () -> handleHeartbeat(request, reply));
     } else if (path.equals("/healthz")) {
       health(request, reply);
--- a/src/main/java/org/saffronshore/http/AdmissionQueue.java
+++ b/src/main/java/org/saffronshore/http/AdmissionQueue.java
@@ -3,46 +3,55 @@
 import java.util.ArrayDeque;
 import java.util.EnumMap;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
 /**
- * Orders what a node is asked to do. Under overload the reports of workers go first, since tasks
- * die without them, then decisions, then submissions and questions of users. Work is done in short
- * slices, between which newly arrived requests are read. A full rank refuses at once.
+ * Orders the requests that a controller handles. Under overload workers' heartbeats go first, since
+ * tasks end without them, then decisions (polls and cancellations), then submissions. Requests are
+ * handled in short slices, between which newly arrived ones are read. A class whose queue is full
+ * refuses at once.
  */
 public final class AdmissionQueue {
 
-  /** Ranks of work, the most urgent first. */
+  /** Classes of requests, the most urgent first. */
   public enum RequestClass {
-    REPORT,
+    HEARTBEAT,
     DECISION,
     SUBMISSION
   }
 
-  private static final int SLICE = 8;
+  private static final class BoundedQueue {
+    private final int capacity;
+    private final ArrayDeque<Runnable> requests = new ArrayDeque<>();
+
+    BoundedQueue(int capacity) {
+      this.capacity = capacity;
+    }
+  }
+
+  private static final int SLICE_SIZE = 8;
 
   private final EventLoop loop;
-  private final Map<RequestClass, Integer> capacity;
-  private final Map<RequestClass, ArrayDeque<Runnable>> waiting = new EnumMap<>(RequestClass.class);
+  private final Map<RequestClass, BoundedQueue> queues = new EnumMap<>(RequestClass.class);
   private boolean scheduled;
 
   /**
-   * @param capacity how many requests of each rank may wait
+   * A queue without requests.
+   *
+   * @param capacity how many requests of each class may wait; a class without one is refused
    */
   public AdmissionQueue(EventLoop loop, Map<RequestClass, Integer> capacity) {
     this.loop = loop;
-    this.capacity = capacity;
-    for (RequestClass rank : RequestClass.values()) {
-      waiting.put(rank, new ArrayDeque<>());
-    }
+    capacity.forEach((requestClass, size) -> queues.put(requestClass, new BoundedQueue(size)));
   }
 
-  /** Takes work on, or returns false when there is no room for more of its rank. */
-  public boolean offer(RequestClass rank, Runnable work) {
-    ArrayDeque<Runnable> queue = waiting.get(rank);
-    if (queue.size() >= capacity.get(rank)) {
+  /** Queues a request; false when there is no room for more of its class. */
+  public boolean offer(RequestClass requestClass, Runnable handling) {
+    BoundedQueue queue = queues.get(requestClass);
+    if (queue == null || queue.requests.size() >= queue.capacity) {
       return false;
     }
-    queue.addLast(work);
+    queue.requests.addLast(handling);
     if (!scheduled) {
       scheduled = true;
       loop.execute(this::runSlice);
@@ -50,11 +59,11 @@
     return true;
   }
 
-  private Runnable next() {
-    for (ArrayDeque<Runnable> queue : waiting.values()) {
-      Runnable work = queue.pollFirst();
-      if (work != null) {
-        return work;
+  private @Nullable Runnable next() {
+    for (BoundedQueue queue : queues.values()) {
+      Runnable handling = queue.requests.pollFirst();
+      if (handling != null) {
+        return handling;
       }
     }
     return null;
@@ -63,15 +72,15 @@
   private void runSlice() {
     scheduled = false;
     try {
-      for (int i = 0; i < SLICE; i++) {
-        Runnable work = next();
-        if (work == null) {
+      for (int i = 0; i < SLICE_SIZE; i++) {
+        Runnable handling = next();
+        if (handling == null) {
           return;
         }
-        work.run();
+        handling.run();
       }
     } finally {
-      if (!scheduled && waiting.values().stream().anyMatch(q -> !q.isEmpty())) {
+      if (!scheduled && queues.values().stream().anyMatch(queue -> !queue.requests.isEmpty())) {
         scheduled = true;
         loop.execute(this::runSlice);
       }
--- a/src/main/java/org/saffronshore/http/Client.java
+++ b/src/main/java/org/saffronshore/http/Client.java
@@ -1,15 +1,23 @@
 package org.saffronshore.http;
 
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings.Address;
 
-/** Sends requests. The receiver is called exactly once, on the loop. */
+/** Sends HTTP requests. */
 public interface Client {
 
+  /**
+   * Sends a request.
+   *
+   * @param body null for none
+   * @param timeoutS seconds after which the request counts as lost
+   * @param callback is called exactly once, on the event loop
+   */
   void send(
-      Address to,
+      Address peer,
       String method,
       String path,
-      byte[] body,
+      byte @Nullable [] body,
       double timeoutS,
-      Response.Callback receiver);
+      Response.Callback callback);
 }
--- a/src/main/java/org/saffronshore/http/ConnectionLimit.java
+++ b/src/main/java/org/saffronshore/http/ConnectionLimit.java
@@ -1,13 +1,10 @@
 package org.saffronshore.http;
 
-/**
- * How many connections some part of a node may hold, out of the sockets that the platform lets it
- * have.
- */
+/** How many connections one part of a controller may hold, out of the sockets of the process. */
 public final class ConnectionLimit {
   /**
-   * Beyond this share of them connections are closed after each answer, so that there is always one
-   * to be had.
+   * Beyond this share of the limit, connections are closed after each response, so that a new one
+   * can always be accepted.
    */
   private static final double KEEP_ALIVE_SHARE = 0.85;
 
@@ -18,7 +15,7 @@
     this.max = max;
   }
 
-  /** Takes a socket; false when all are in use. */
+  /** Takes a connection; false when all are in use. */
   public boolean tryAcquire() {
     if (inUse >= max) {
       return false;
@@ -27,6 +24,7 @@
     return true;
   }
 
+  /** Gives a connection back that was acquired. */
   public void release() {
     inUse--;
   }
--- a/src/main/java/org/saffronshore/http/EventLoop.java
+++ b/src/main/java/org/saffronshore/http/EventLoop.java
@@ -1,8 +1,8 @@
 package org.saffronshore.http;
 
 /**
- * The one thread that owns all mutable state of a node, with its clock. Tests use a manual one in
- * place. Times are seconds of a steady clock that has no relation to the time of day.
+ * The one thread that owns all mutable state of a controller, with its clock. Tests use one whose
+ * clock they move. Times are seconds of a steady clock that has no relation to the time of day.
  */
 public interface EventLoop {
 
@@ -11,21 +11,23 @@
     void cancel();
   }
 
+  /** The steady clock, in seconds. */
   double now();
 
-  /** The time of day in milliseconds, which other nodes have only roughly the same. */
+  /** The time of day in milliseconds; other controllers have it only roughly the same. */
   default long wallClockMs() {
     return System.currentTimeMillis();
   }
 
+  /** Runs an action once, after some seconds. */
   Timer schedule(double seconds, Runnable action);
 
-  /** Runs an action soon, after what is already waiting to be read from the network. */
+  /** Runs an action after what is already waiting to be read from the network. */
   default void execute(Runnable action) {
     schedule(0, action);
   }
 
-  /** Runs an action again and again, each time the given time after the last run ended. */
+  /** Runs an action repeatedly, each time the given number of seconds after the last run ended. */
   default void scheduleWithFixedDelay(double seconds, Runnable action) {
     schedule(
         seconds,
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -14,6 +14,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -21,11 +22,7 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.Map;
-import java.util.Set;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings.Address;
 
 /**
@@ -35,33 +32,31 @@
 @SuppressWarnings(
     "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
 public final class HttpClient implements Client {
-  /** Watches of the state service have no size limit; this bounds what a node takes into memory. */
-  private static final int MAX_ANSWER = 16 * 1024 * 1024;
-
   /**
-   * Idle connections are closed after this time: machines come and go, and one that is gone closes
-   * nothing.
+   * Watches of the state service have no size limit; this bounds what is taken into memory, in
+   * bytes.
    */
-  public static final double IDLE_S = 30;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-  private record Kept(Address to, Channel channel, EventLoop.Timer timer) {}
+  /** How long an idle connection is usually kept, in seconds. */
+  public static final double MAX_IDLE_S = 30;
 
   private final EventLoop loop;
-  private final ConnectionLimit sockets;
-  private final double idleS;
+  private final ConnectionLimit connections;
+  private final ConnectionPool pool;
   private final Bootstrap bootstrap;
-  private final Map<Address, ArrayDeque<Kept>> idle = new HashMap<>();
-
-  /** All of them, the one that has been idle for longest first. */
-  private final Set<Kept> oldest = new LinkedHashSet<>();
 
   /**
-   * @param idleS for how long an idle connection is kept
+   * A client without connections.
+   *
+   * @param connections how many connections it may hold; idle ones make way for new ones
+   * @param maxIdleS how long an idle connection is kept, in seconds
    */
-  public HttpClient(EventLoop loop, IoEventLoopGroup group, ConnectionLimit sockets, double idleS) {
+  public HttpClient(
+      EventLoop loop, IoEventLoopGroup group, ConnectionLimit connections, double maxIdleS) {
     this.loop = loop;
-    this.idleS = idleS;
-    this.sockets = sockets;
+    this.connections = connections;
+    this.pool = new ConnectionPool(loop, maxIdleS);
     this.bootstrap =
         new Bootstrap()
             .group(group)
@@ -71,37 +66,41 @@
             .handler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline()
-                        .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER));
+                  protected void initChannel(SocketChannel channel) {
+                    channel
+                        .pipeline()
+                        .addLast(
+                            new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES));
                   }
                 });
   }
 
   @Override
   public void send(
-      Address to,
+      Address peer,
       String method,
       String path,
-      byte[] body,
+      byte @Nullable [] body,
       double timeoutS,
-      Response.Callback receiver) {
-    Exchange exchange = new Exchange(to, method, path, body, timeoutS, receiver);
-    Channel kept = reuse(to);
-    if (kept != null) {
-      exchange.start(kept);
-      return;
-    }
-    if (!sockets.tryAcquire() && !(closeOldest() && sockets.tryAcquire())) {
+      Response.Callback callback) {
+    Exchange exchange = new Exchange(peer, request(peer, method, path, body), timeoutS, callback);
+    Channel idle = pool.acquire(peer);
+    if (idle != null) {
+      exchange.start(idle);
+    } else if (connections.tryAcquire() || (pool.closeOldest() && connections.tryAcquire())) {
+      connect(exchange);
+    } else {
       loop.execute(exchange::fail);
-      return;
     }
-    ChannelFuture connecting = bootstrap.connect(to.host(), to.port());
+  }
+
+  private void connect(Exchange exchange) {
+    ChannelFuture connecting = bootstrap.connect(exchange.peer.host(), exchange.peer.port());
     exchange.connecting = connecting.channel();
-    connecting.channel().closeFuture().addListener(c -> sockets.release());
+    connecting.channel().closeFuture().addListener(closed -> connections.release());
     connecting.addListener(
-        f -> {
-          if (f.isSuccess() && !exchange.over) {
+        connected -> {
+          if (connected.isSuccess() && !exchange.finished) {
             exchange.start(connecting.channel());
           } else {
             connecting.channel().close();
@@ -110,94 +109,45 @@
         });
   }
 
-  private Channel reuse(Address to) {
-    ArrayDeque<Kept> waiting = idle.get(to);
-    while (waiting != null && !waiting.isEmpty()) {
-      Kept last = waiting.peekLast();
-      forget(last);
-      if (last.channel.isActive()) {
-        return last.channel;
-      }
+  private static FullHttpRequest request(
+      Address peer, String method, String path, byte @Nullable [] body) {
+    FullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            HttpMethod.valueOf(method),
+            path,
+            body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
+    request.headers().set(HttpHeaderNames.HOST, peer.toString());
+    if (body != null) {
+      request.headers().set(HttpHeaderNames.CONTENT_TYPE, Responder.CONTENT_TYPE_JSON);
+      request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
     }
-    return null;
-  }
-
-  private void keep(Address to, Channel channel) {
-    Kept[] kept = new Kept[1];
-    kept[0] = new Kept(to, channel, loop.schedule(idleS, () -> close(kept[0])));
-    idle.computeIfAbsent(to, a -> new ArrayDeque<>(2)).addLast(kept[0]);
-    oldest.add(kept[0]);
-  }
-
-  private void forget(Kept kept) {
-    kept.timer.cancel();
-    oldest.remove(kept);
-    ArrayDeque<Kept> waiting = idle.get(kept.to);
-    if (waiting != null && waiting.remove(kept) && waiting.isEmpty()) {
-      idle.remove(kept.to);
-    }
-  }
-
-  private void close(Kept kept) {
-    forget(kept);
-    kept.channel.close();
-  }
-
-  /**
-   * With many machines, connections that are kept for later must not stand in the way of what is
-   * due now.
-   */
-  private boolean closeOldest() {
-    if (oldest.isEmpty()) {
-      return false;
-    }
-    close(oldest.iterator().next());
-    return true;
+    return request;
   }
 
+  /** One request and what becomes of it; it ends exactly once. */
   private final class Exchange extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final Address to;
-    private final String method;
-    private final String path;
-    private final byte[] body;
-    private final Response.Callback receiver;
-    private final double until;
-    private final EventLoop.Timer timer;
-    private Channel connecting;
-    private Channel channel;
-    private boolean over;
-
-    Exchange(
-        Address to,
-        String method,
-        String path,
-        byte[] body,
-        double timeoutS,
-        Response.Callback receiver) {
-      this.to = to;
-      this.method = method;
-      this.path = path;
-      this.body = body;
-      this.receiver = receiver;
-      this.until = loop.now() + timeoutS;
-      this.timer = loop.schedule(timeoutS, this::fail);
+    private final Address peer;
+    private final FullHttpRequest request;
+    private final Response.Callback callback;
+    private final double deadline;
+    private final EventLoop.Timer timeout;
+    private @Nullable Channel connecting;
+    private @Nullable Channel channel;
+    private boolean finished;
+
+    Exchange(Address peer, FullHttpRequest request, double timeoutS, Response.Callback callback) {
+      this.peer = peer;
+      this.request = request;
+      this.callback = callback;
+      this.deadline = loop.now() + timeoutS;
+      this.timeout = loop.schedule(timeoutS, this::fail);
     }
 
-    void start(Channel ch) {
-      channel = ch;
-      ch.pipeline().addLast(this);
-      var request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.valueOf(method),
-              path,
-              body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
-      request.headers().set(HttpHeaderNames.HOST, to.toString());
-      if (body != null) {
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, Responder.CONTENT_TYPE_JSON);
-        request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-      }
-      ch.writeAndFlush(request);
+    void start(Channel connection) {
+      channel = connection;
+      connection.pipeline().addLast(this);
+      connection.writeAndFlush(request);
     }
 
     /** Once the channel had the request, nobody can tell whether the other side will see it. */
@@ -205,15 +155,15 @@
       finish(channel == null ? Response.NOT_SENT : Response.LOST, true);
     }
 
-    private void finish(Response answer, boolean close) {
-      if (over) {
+    private void finish(Response response, boolean close) {
+      if (finished) {
         return;
       }
-      over = true;
-      timer.cancel();
+      finished = true;
+      timeout.cancel();
       if (channel == null) {
-        // A machine without power never answers; the attempt to reach it must not hold its socket
-        // for longer.
+        // A machine without power never responds; the attempt to reach it must not hold its
+        // connection for longer.
         if (connecting != null) {
           connecting.close();
         }
@@ -221,17 +171,16 @@
         channel.close();
       } else {
         channel.pipeline().remove(this);
-        keep(to, channel);
+        pool.release(peer, channel);
       }
-      receiver.onResponse(answer);
+      callback.onResponse(response);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      // After a standstill of this process the network is read before timers fire: what was
-      // answered long ago
-      // must not be taken for news.
-      if (response.decoderResult().isFailure() || loop.now() > until) {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+      // After a pause of this process the network is read before timers fire: a response that
+      // arrived long ago must not be taken for a new one.
+      if (response.decoderResult().isFailure() || loop.now() > deadline) {
         fail();
         return;
       }
@@ -241,12 +190,12 @@
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
+    public void channelInactive(ChannelHandlerContext context) {
       fail();
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       fail();
     }
   }
--- a/src/main/java/org/saffronshore/http/HttpServer.java
+++ b/src/main/java/org/saffronshore/http/HttpServer.java
@@ -26,6 +26,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings.Address;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -34,17 +35,22 @@
 @SuppressWarnings(
     "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
 public final class HttpServer {
-  /** The longest body that the protocol lets anyone send. */
-  public static final int MAX_BODY = 64 * 1024;
+  /** The longest body that the protocol lets anyone send, in bytes. */
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private final BiConsumer<Request, Responder> handler;
-  private final ConnectionLimit sockets;
-  private Channel channel;
+  private final ConnectionLimit connections;
+  private @Nullable Channel channel;
 
-  public HttpServer(BiConsumer<Request, Responder> handler, ConnectionLimit sockets) {
+  /**
+   * A server that does not listen yet.
+   *
+   * @param connections how many connections it may hold; more are closed as they come
+   */
+  public HttpServer(BiConsumer<Request, Responder> handler, ConnectionLimit connections) {
     this.handler = handler;
-    this.sockets = sockets;
+    this.connections = connections;
   }
 
   /** Listens on an address. */
@@ -60,8 +66,8 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel ch) {
-                    accept(ch);
+                  protected void initChannel(SocketChannel connection) {
+                    accept(connection);
                   }
                 })
             .bind(new InetSocketAddress(address.host(), address.port()))
@@ -69,34 +75,40 @@
             .channel();
   }
 
+  /** The port that it listens on, which the system chose if the address named port 0. */
   public int port() {
+    if (channel == null) {
+      throw new IllegalStateException("the server was not started");
+    }
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  private void accept(SocketChannel ch) {
+  private void accept(SocketChannel connection) {
     // Past the limit a refusal must be quick: a connection that is never read would look healthy.
-    if (!sockets.tryAcquire()) {
-      ch.close();
+    if (!connections.tryAcquire()) {
+      connection.close();
       return;
     }
-    ch.closeFuture().addListener(f -> sockets.release());
-    ch.pipeline().addLast(new HttpServerCodec(), new Aggregator(), new Requests());
+    connection.closeFuture().addListener(closed -> connections.release());
+    connection
+        .pipeline()
+        .addLast(new HttpServerCodec(), new BodyAggregator(), new RequestHandler());
   }
 
   /**
    * Answers an over-long body with 400: to the users of this protocol 413 would mean "try again".
    */
-  private static final class Aggregator extends HttpObjectAggregator {
-    Aggregator() {
-      super(MAX_BODY);
+  private static final class BodyAggregator extends HttpObjectAggregator {
+    BodyAggregator() {
+      super(MAX_BODY_BYTES);
     }
 
     @Override
-    protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage message) {
+    protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
       String uri = message instanceof HttpRequest r ? r.uri() : "?";
-      LOG.info("refused a request to {}: its body is longer than {} bytes", uri, MAX_BODY);
+      LOG.info("Refusing request: body too long: path={} limit_bytes={}", uri, MAX_BODY_BYTES);
       write(
-          ctx,
+          context,
           true,
           400,
           Responder.CONTENT_TYPE_JSON,
@@ -105,9 +117,9 @@
     }
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
       String uri = message.uri();
       int query = uri.indexOf('?');
       Request request =
@@ -116,59 +128,64 @@
               query < 0 ? uri : uri.substring(0, query),
               ByteBufUtil.getBytes(message.content()));
       boolean close = !HttpUtil.isKeepAlive(message);
-      Responder reply =
+      Responder responder =
           new Responder() {
             private boolean sent;
 
             @Override
-            public void send(int status, String type, byte[] body, int retryAfterS) {
+            public void send(int status, String contentType, byte[] body, int retryAfterS) {
               if (!sent) {
                 sent = true;
-                // There may be more workers than sockets. Told so with the answer, they come back
-                // for the next
-                // report; refused at the door, they would take this node for dead and try another
-                // one.
-                write(ctx, close || sockets.isNearlyExhausted(), status, type, body, retryAfterS);
+                // There may be more workers than connections. A worker whose connection is closed
+                // after the response connects again for its next heartbeat; one that cannot connect
+                // takes this controller for dead and tries another one.
+                write(
+                    context,
+                    close || connections.isNearlyExhausted(),
+                    status,
+                    contentType,
+                    body,
+                    retryAfterS);
               }
             }
 
             @Override
             public boolean isConnected() {
-              return ctx.channel().isActive();
+              return context.channel().isActive();
             }
           };
       if (message.decoderResult().isFailure()) {
-        reply.error(400, "not an HTTP request");
+        responder.error(400, "not an HTTP request");
         return;
       }
       try {
-        handler.accept(request, reply);
+        handler.accept(request, responder);
       } catch (RuntimeException e) {
-        LOG.error("{} {} failed", request.method(), request.path(), e);
-        reply.retryLater(503, "internal error", 1);
+        LOG.error("Request failed: method={} path={}", request.method(), request.path(), e);
+        responder.retryLater(503, "internal error", 1);
       }
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
   }
 
   private static void write(
-      ChannelHandlerContext ctx,
+      ChannelHandlerContext context,
       boolean close,
       int status,
-      String type,
+      String contentType,
       byte[] body,
       int retryAfterS) {
-    if (!ctx.channel().isActive()) {
+    if (!context.channel().isActive()) {
       return;
     }
     var response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
-    response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
     if (retryAfterS > 0) {
       response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
@@ -176,9 +193,9 @@
     if (close) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
-    var written = ctx.writeAndFlush(response);
+    var written = context.writeAndFlush(response);
     if (close) {
-      written.addListener(f -> ctx.close());
+      written.addListener(sent -> context.close());
     }
   }
 }
--- a/src/main/java/org/saffronshore/http/NettyEventLoop.java
+++ b/src/main/java/org/saffronshore/http/NettyEventLoop.java
@@ -7,13 +7,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The event loop of a running node. */
+/** The event loop of a running controller: one thread of Netty. */
 public final class NettyEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
   private final IoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final io.netty.channel.EventLoop loop = group.next();
+  private final io.netty.channel.EventLoop thread = group.next();
 
+  /** The same thread, for servers and clients. */
   public IoEventLoopGroup group() {
     return group;
   }
@@ -27,10 +28,10 @@
   public Timer schedule(double seconds, Runnable action) {
     Runnable guarded = () -> run(action);
     if (seconds <= 0) {
-      loop.execute(guarded);
+      thread.execute(guarded);
       return () -> {};
     }
-    var future = loop.schedule(guarded, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    var future = thread.schedule(guarded, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     return () -> future.cancel(false);
   }
 
@@ -38,7 +39,7 @@
     try {
       action.run();
     } catch (RuntimeException e) {
-      LOG.error("an action of the loop failed", e);
+      LOG.error("Action failed on the event loop", e);
     }
   }
 }
--- a/src/main/java/org/saffronshore/http/Response.java
+++ b/src/main/java/org/saffronshore/http/Response.java
@@ -1,32 +1,45 @@
 package org.saffronshore.http;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.Json;
 
 /**
  * What became of a request of ours. A request that was not sent cannot take effect; one that was
  * lost may have taken effect, or may yet do so at any later time.
+ *
+ * @param status the HTTP status; a value that is no HTTP status where no response came
  */
 @SuppressWarnings("ArrayRecordComponent") // The body is handed on, never compared or changed.
 public record Response(int status, byte[] body) {
-  public static final Response NOT_SENT = new Response(-1, new byte[0]);
-  public static final Response LOST = new Response(0, new byte[0]);
+  private static final int STATUS_NOT_SENT = -1;
+  private static final int STATUS_LOST = 0;
 
-  /** Receives the answer on the loop. */
+  public static final Response NOT_SENT = new Response(STATUS_NOT_SENT, new byte[0]);
+  public static final Response LOST = new Response(STATUS_LOST, new byte[0]);
+
+  /** Receives the response on the event loop, exactly once. */
   @FunctionalInterface
   public interface Callback {
-    void onResponse(Response answer);
+    void onResponse(Response response);
   }
 
   public boolean ok() {
     return status == 200;
   }
 
-  public boolean lost() {
-    return status == 0;
+  /** Whether the request cannot have reached the other side. */
+  public boolean isNotSent() {
+    return status == STATUS_NOT_SENT;
+  }
+
+  /** Whether nobody can tell if the request took effect. */
+  public boolean isLost() {
+    return status == STATUS_LOST;
   }
 
-  public JsonNode json() {
+  /** The body as a JSON tree, or null when it is not exactly one JSON value. */
+  public @Nullable JsonNode json() {
     return Json.parse(body);
   }
 }
--- /dev/null
+++ b/src/main/java/org/saffronshore/http/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * HTTP/1.1 for a controller, on Netty: the event loop with its clock, a server, a client with a
+ * pool of idle connections, connection limits, and the admission queue that orders requests under
+ * overload. Knows nothing of what the requests are about; uses {@code config} for addresses and
+ * {@code wire} for JSON only.
+ */
+@NullMarked
+package org.saffronshore.http;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
+++ b/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
@@ -16,14 +16,15 @@
   private final AdmissionQueue admission =
       new AdmissionQueue(
           loop,
-          Map.of(RequestClass.REPORT, 20, RequestClass.DECISION, 20, RequestClass.SUBMISSION, 20));
+          Map.of(
+              RequestClass.HEARTBEAT, 20, RequestClass.DECISION, 20, RequestClass.SUBMISSION, 20));
   private final List<RequestClass> done = new ArrayList<>();
 
   @Test
-  void reportsThenDecisionsThenSubmissions() {
+  void heartbeatsAreHandledBeforeDecisionsAndSubmissions() {
     for (int i = 0; i < 10; i++) {
       for (RequestClass rank :
-          List.of(RequestClass.SUBMISSION, RequestClass.DECISION, RequestClass.REPORT)) {
+          List.of(RequestClass.SUBMISSION, RequestClass.DECISION, RequestClass.HEARTBEAT)) {
         assertTrue(admission.offer(rank, () -> done.add(rank)));
       }
     }
@@ -33,14 +34,14 @@
   }
 
   @Test
-  void aFullRankRefusesAtOnceAndTheOthersDoNot() {
+  void fullClassRefusesAtOnceWhileTheOthersAccept() {
     for (int i = 0; i < 20; i++) {
       assertTrue(admission.offer(RequestClass.SUBMISSION, () -> done.add(RequestClass.SUBMISSION)));
     }
     assertFalse(admission.offer(RequestClass.SUBMISSION, () -> done.add(RequestClass.SUBMISSION)));
-    assertTrue(admission.offer(RequestClass.REPORT, () -> done.add(RequestClass.REPORT)));
+    assertTrue(admission.offer(RequestClass.HEARTBEAT, () -> done.add(RequestClass.HEARTBEAT)));
     loop.pass(0);
-    assertEquals(RequestClass.REPORT, done.get(0));
+    assertEquals(RequestClass.HEARTBEAT, done.get(0));
     assertEquals(21, done.size());
   }
 }
--- a/src/test/java/org/saffronshore/http/HttpTest.java
+++ b/src/test/java/org/saffronshore/http/HttpTest.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.AfterEach;
@@ -21,7 +22,7 @@
 class HttpTest {
   private final NettyEventLoop loop = new NettyEventLoop();
   private final HttpClient client =
-      new HttpClient(loop, loop.group(), new ConnectionLimit(10), HttpClient.IDLE_S);
+      new HttpClient(loop, loop.group(), new ConnectionLimit(10), HttpClient.MAX_IDLE_S);
   private final HttpServer server =
       new HttpServer(
           (request, reply) -> {
@@ -31,7 +32,11 @@
               reply.send(
                   200,
                   Responder.CONTENT_TYPE_JSON,
-                  (request.method() + " " + request.path() + " " + request.body().length)
+                  (request.method()
+                          + " "
+                          + request.path()
+                          + " "
+                          + Objects.requireNonNull(request.body()).length)
                       .getBytes(StandardCharsets.UTF_8),
                   0);
             }
@@ -61,7 +66,7 @@
   }
 
   @Test
-  void answersAgainAndAgain() {
+  void clientReusesItsConnectionOverManyRequests() {
     for (int i = 0; i < 30; i++) {
       assertEquals(
           "POST /x " + i, new String(ask(address, "/x", i, 60).body(), StandardCharsets.UTF_8));
@@ -71,7 +76,7 @@
 
   /** Machines that are gone must not use up the connections that a node may have. */
   @Test
-  void idleConnectionsAreClosed() {
+  void connectionThatIsIdleForTooLongIsClosed() {
     ConnectionLimit one = new ConnectionLimit(1);
     HttpClient hasty = new HttpClient(loop, loop.group(), one, 0.001);
     assertEquals(200, ask(hasty, address, "/x", 0, 60).status());
@@ -89,7 +94,7 @@
 
   /** A connection that is kept for later makes way for one that is due now. */
   @Test
-  void anIdleConnectionMakesWay() throws InterruptedException {
+  void oldestIdleConnectionIsClosedAtTheConnectionLimit() throws InterruptedException {
     HttpServer other =
         new HttpServer(
             (request, reply) -> reply.send(204, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
@@ -108,7 +113,7 @@
    * not pass for news.
    */
   @Test
-  void anAnswerThatLiesUnreadForTooLongIsLost() throws InterruptedException {
+  void responseReadAfterItsDeadlineCountsAsLost() throws InterruptedException {
     NettyEventLoop campaigning = new NettyEventLoop();
     CountDownLatch still = new CountDownLatch(1);
     HttpServer other =
@@ -151,7 +156,7 @@
    * others need.
    */
   @Test
-  void moreClientsThanSocketsAreAllServed() throws InterruptedException {
+  void serverWithFewerConnectionsThanClientsServesAllOfThem() throws InterruptedException {
     HttpServer small =
         new HttpServer(
             (request, reply) -> reply.send(200, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
@@ -174,7 +179,7 @@
    * longer than asked.
    */
   @Test
-  void anAttemptToConnectEndsWithItsRequest() throws Exception {
+  void connectionAttemptEndsWithTheTimeoutOfItsRequest() throws Exception {
     ConnectionLimit two = new ConnectionLimit(2);
     HttpClient narrow = new HttpClient(loop, loop.group(), two, 60);
     List<Socket> fill = new ArrayList<>();
@@ -211,13 +216,13 @@
 
   /** To users 413 would mean: try again. */
   @Test
-  void anOverlongBodyIsMalformed() {
-    assertEquals(200, ask(address, "/x", HttpServer.MAX_BODY, 60).status());
-    assertEquals(400, ask(address, "/x", HttpServer.MAX_BODY + 1, 60).status());
+  void bodyBeyondTheLimitIsRefusedAsMalformed() {
+    assertEquals(200, ask(address, "/x", HttpServer.MAX_BODY_BYTES, 60).status());
+    assertEquals(400, ask(address, "/x", HttpServer.MAX_BODY_BYTES + 1, 60).status());
   }
 
   @Test
-  void tellsWhatWasNotSentFromWhatWasLost() {
+  void requestThatWasNotSentIsToldFromOneThatWasLost() {
     assertEquals(Response.NOT_SENT, ask(new Address("127.0.0.1", 1), "/x", 0, 60));
     assertEquals(Response.LOST, ask(address, "/never", 0, 0.05));
   }
