--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -38,7 +38,7 @@
         new AdmissionQueue(
             loop,
             Map.of(
-                RequestClass.REPORT, maxSockets,
+                RequestClass.HEARTBEAT, maxSockets,
                 RequestClass.DECISION, queued,
                 RequestClass.SUBMISSION, queued));
     this.users = users;
@@ -52,7 +52,7 @@
     if (path.equals(HEARTBEAT_PATH)) {
       admit(
           "POST",
-          RequestClass.REPORT,
+          RequestClass.HEARTBEAT,
           request,
           responder,
           () -> workers.handleHeartbeat(request, responder));
--- a/src/main/java/org/saffronshore/cli/ControllerCommand.java
+++ b/src/main/java/org/saffronshore/cli/ControllerCommand.java
@@ -85,7 +85,7 @@
         Math.max(MIN_CLIENT_CONNECTIONS, settings.maxSockets() / SOCKETS_PER_CLIENT_CONNECTION);
     HttpClient client =
         new HttpClient(
-            loop, loop.group(), new ConnectionLimit(clientConnections), HttpClient.IDLE_S);
+            loop, loop.group(), new ConnectionLimit(clientConnections), HttpClient.MAX_IDLE_S);
     Controller controller =
         new Controller(loop, settings, client, RandomGenerator.of(RANDOM_ALGORITHM));
     controller.serve(loop.group());
--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -103,7 +103,7 @@
   }
 
   private static DeliveryOutcome deliveryOutcome(Response response, CommandResponse result) {
-    if (response.equals(Response.NOT_SENT)) {
+    if (response.isNotSent()) {
       return DeliveryOutcome.NOT_EXECUTED;
     }
     return switch (result.outcome()) {
