--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -1,6 +1,5 @@
 package org.saffronshore.api;
 
-import org.saffronshore.config.TeamQuota;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 import java.util.Optional;
@@ -9,12 +8,13 @@
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
 import org.saffronshore.peer.JobProgress;
-import org.saffronshore.state.JobStore;
 import org.saffronshore.state.JobStatus;
+import org.saffronshore.state.JobStore;
 import org.saffronshore.state.SubmissionResult;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
--- a/src/main/java/org/saffronshore/api/WorkerApi.java
+++ b/src/main/java/org/saffronshore/api/WorkerApi.java
@@ -1,5 +1,6 @@
 package org.saffronshore.api;
 
+import java.util.Objects;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.admin.Metrics;
@@ -90,7 +91,7 @@
     if (leaderNode != null && redirects.shouldRelay(heartbeat.machine(), leaderNode)) {
       relay.relay(
           leaderNode,
-          request.body(),
+          Objects.requireNonNull(request.body(), "a heartbeat that was read has a body"),
           relayed -> respondRelayed(heartbeat.machine(), leaderNode, relayed, responder));
     } else {
       redirect(leaderNode, responder);
--- a/src/main/java/org/saffronshore/autoscaling/Consolidation.java
+++ b/src/main/java/org/saffronshore/autoscaling/Consolidation.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Optional;
 import org.saffronshore.cluster.Attempt;
 import org.saffronshore.cluster.Cluster;
@@ -89,7 +90,7 @@
   private static boolean moveTasks(Machine machine, Map<Machine, Resources> freeByMachine) {
     List<Runnable> undo = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
-      JobSpec job = attempt.job();
+      JobSpec job = Objects.requireNonNull(attempt.job(), "of a movable machine");
       Optional<Resources> target = freeOnTarget(machine, job, freeByMachine);
       if (target.isEmpty()) {
         undo.forEach(Runnable::run);
--- a/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
@@ -166,7 +166,8 @@
       return;
     }
     List<SchedulingPlan.UnplacedTasks> displaced =
-        DisplacedTasks.find(types, scarce.names(), late, cluster.view().tasksOnMachineTypes(scarce.names()));
+        DisplacedTasks.find(
+            types, scarce.names(), late, cluster.view().tasksOnMachineTypes(scarce.names()));
     if (displaced.isEmpty()) {
       return;
     }
--- a/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -34,7 +34,8 @@
         .expectedJobs(now, bootTimes.longestS() / 2)
         .forEach(expected -> fittingTasks.put(expected, 0.0));
     for (Machine machine : cluster.machines()) {
-      Resources freeOnMachine = excluded.test(machine) ? null : cluster.view().freeResources(machine);
+      Resources freeOnMachine =
+          excluded.test(machine) ? null : cluster.view().freeResources(machine);
       if (freeOnMachine != null) {
         free.put(machine, freeOnMachine);
         fittingTasks.replaceAll((expected, sum) -> sum + fittingTasksOn(machine, expected));
--- a/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
+++ b/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
@@ -1,7 +1,7 @@
 package org.saffronshore.autoscaling;
 
-import org.saffronshore.config.Objective;
 import java.util.List;
+import org.saffronshore.config.Objective;
 import org.saffronshore.config.Settings;
 import org.saffronshore.wire.JobSpec;
 
--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -62,7 +62,12 @@
    * @param callback receives an empty result when they could not be had or read
    */
   public void listMachineTypes(Consumer<Optional<MachineTypeList>> callback) {
-    send("GET", "/machine_types", null, RequestPriority.NORMAL, response -> callback.accept(typesIn(response)));
+    send(
+        "GET",
+        "/machine_types",
+        null,
+        RequestPriority.NORMAL,
+        response -> callback.accept(typesIn(response)));
   }
 
   private static Optional<MachineTypeList> typesIn(Response response) {
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -1,6 +1,5 @@
 package org.saffronshore.cluster;
 
-import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.List;
@@ -14,6 +13,7 @@
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.MachineType;
 import org.saffronshore.wire.TaskId;
 
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -1,6 +1,5 @@
 package org.saffronshore.cluster;
 
-import org.saffronshore.config.TeamQuota;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -8,9 +7,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
 import org.saffronshore.http.EventLoop;
@@ -215,7 +216,7 @@
     }
     Resources free = Resources.capacityOf(type);
     for (Attempt attempt : machine.attempts()) {
-      free.subtract(attempt.job());
+      free.subtract(Objects.requireNonNull(attempt.job(), "of a schedulable machine"));
     }
     return free;
   }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -1,12 +1,13 @@
 package org.saffronshore.cluster;
 
 import java.util.Collection;
+import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.config.Address;
-import org.saffronshore.wire.MachineKind;
 import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.scheduling.PlacedTask;
 import org.saffronshore.scheduling.Resources;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.MachineType;
 
 /**
@@ -347,7 +348,7 @@
         view.add(
             new PlacedTask(
                 attempt.task(),
-                attempt.job(),
+                Objects.requireNonNull(attempt.job(), "of a schedulable machine"),
                 attempt.stopping(),
                 attempt.runningSince(),
                 attempt.isExemptFromPreemption()));
--- a/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
@@ -1,13 +1,13 @@
 package org.saffronshore.cluster;
 
-import org.saffronshore.wire.ListedMachine;
 import java.util.ArrayList;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.saffronshore.config.Settings;
 import org.saffronshore.config.Address;
+import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.InvalidFieldException;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -91,12 +91,7 @@
     machine.rentedAt(requestedAt);
   }
 
-  /**
-   * One line of the cloud's list.
-   *
-   * @param address null as long as the machine has none
-   * @param ageS for how long it has been rented
-   */
+  /** One line of the cloud's list. */
   void machineListed(ListedMachine listed) {
     String id = listed.id();
     if (machines.isRemoved(id)) {
--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -1,9 +1,10 @@
 package org.saffronshore.control;
 
-import org.saffronshore.cluster.DeliveryOutcome;
+import java.util.Objects;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.CommandBatch;
+import org.saffronshore.cluster.DeliveryOutcome;
 import org.saffronshore.cluster.Machine;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.Client;
@@ -79,7 +80,7 @@
     // A probe, which holds no command, must not stand in the way of launches when many machines do
     // not respond.
     client.send(
-        batch.machine().address(),
+        Objects.requireNonNull(batch.machine().address(), "of a machine with commands"),
         "POST",
         COMMAND_PATH,
         new CommandMessage(term.number(), batch.commands()).toDirectCommand(batch.epoch()),
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -90,8 +90,8 @@
         new PeerMessageFactory(settings.node(), this::incarnation, stateMonitor);
     this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peers);
     this.leadership = new Leadership(loop, state, settings, random, this, peerVoting);
-    this.types = new MachineTypeCache(
-            loop, settings, cloud, state, leadership, this::machineTypesChanged);
+    this.types =
+        new MachineTypeCache(loop, settings, cloud, state, leadership, this::machineTypesChanged);
     WorkerApi workers = buildWorkerApi(peerClient);
     PeerLeadership peerLeadership = new PeerLeadershipAdapter(leadership);
     this.peerHeartbeats =
--- a/src/main/java/org/saffronshore/control/HeartbeatService.java
+++ b/src/main/java/org/saffronshore/control/HeartbeatService.java
@@ -43,10 +43,13 @@
       return null;
     }
     term.detectPause();
-    if (!term.isActive() || cluster.isRemoved(heartbeat.machine())) {
+    if (!term.isActive()) {
       return null;
     }
     Machine machine = cluster.heartbeatReceived(heartbeat);
+    if (machine == null) {
+      return null;
+    }
     List<Command> commands = cluster.responseCommands(machine);
     dueWork.run();
     return commands.isEmpty()
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -1,9 +1,9 @@
 package org.saffronshore.control;
 
-import org.saffronshore.autoscaling.Autoscaler;
 import java.util.List;
 import org.jspecify.annotations.NullMarked;
 import org.jspecify.annotations.Nullable;
+import org.saffronshore.autoscaling.Autoscaler;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
--- a/src/main/java/org/saffronshore/control/LeaderServices.java
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -1,6 +1,5 @@
 package org.saffronshore.control;
 
-import org.saffronshore.peer.PeerReachability;
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.Metrics;
@@ -9,6 +8,7 @@
 import org.saffronshore.http.Client;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.Leadership;
+import org.saffronshore.peer.PeerReachability;
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.StateClient;
 
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -1,12 +1,12 @@
 package org.saffronshore.control;
 
-import org.saffronshore.peer.PeerReachability;
 import java.util.function.DoubleSupplier;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
+import org.saffronshore.peer.PeerReachability;
 import org.saffronshore.state.StateClient;
 
 /** Steps down where another controller could do more with the leadership than this one. */
--- a/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
+++ b/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
@@ -1,11 +1,11 @@
 package org.saffronshore.control;
 
-import org.saffronshore.state.RequestPriority;
 import java.util.Set;
 import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.OperatorSettings;
 import org.saffronshore.state.GetResult;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.wire.InvalidFieldException;
 import org.slf4j.Logger;
--- a/src/main/java/org/saffronshore/failover/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/failover/DependencyResolver.java
@@ -8,8 +8,8 @@
 import org.saffronshore.cluster.Job;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
-import org.saffronshore.state.JobStore;
 import org.saffronshore.state.JobOutcome;
+import org.saffronshore.state.JobStore;
 
 /**
  * Reconciles what one term knows of the jobs that others depend on with the state service: their
--- a/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
+++ b/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
@@ -1,6 +1,5 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.Listing;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -15,7 +14,7 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.state.FinishedTasksChunk;
 import org.saffronshore.state.Keys;
-import org.saffronshore.state.StateClient;
+import org.saffronshore.state.Listing;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
--- a/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
+++ b/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
@@ -1,15 +1,15 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.RequestPriority;
-import org.saffronshore.state.JobOutcome;
 import java.util.ArrayList;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.CommitResult;
-import org.saffronshore.state.JobStore;
+import org.saffronshore.state.JobOutcome;
 import org.saffronshore.state.JobStatus;
+import org.saffronshore.state.JobStore;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
+++ b/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
@@ -1,6 +1,5 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.Listing;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -11,8 +10,8 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
 import org.saffronshore.state.MachineRegistryEntry;
-import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
--- a/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -1,8 +1,5 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.RequestPriority;
-import org.saffronshore.state.StoredEntry;
-import org.saffronshore.state.Listing;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -17,7 +14,10 @@
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.state.JobRecord;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
+import org.saffronshore.state.StoredEntry;
 import org.saffronshore.state.WatchResult;
 import org.saffronshore.wire.InvalidFieldException;
 import org.slf4j.Logger;
@@ -64,9 +64,7 @@
 
   /** Adds the jobs that were open when the term began. */
   void load(
-      Listing openJobs,
-      Map<String, BitSet> finishedTasks,
-      Map<String, Integer> launchWatermarks) {
+      Listing openJobs, Map<String, BitSet> finishedTasks, Map<String, Integer> launchWatermarks) {
     for (StoredEntry entry : openJobs.entries()) {
       String id = Keys.idOf(entry.key());
       add(
--- a/src/main/java/org/saffronshore/failover/PagedRecords.java
+++ b/src/main/java/org/saffronshore/failover/PagedRecords.java
@@ -1,7 +1,5 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.RequestPriority;
-import org.saffronshore.state.StoredEntry;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -14,7 +12,9 @@
 import java.util.function.BiConsumer;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
+import org.saffronshore.state.StoredEntry;
 import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.Json;
 
--- a/src/main/java/org/saffronshore/failover/TermRecovery.java
+++ b/src/main/java/org/saffronshore/failover/TermRecovery.java
@@ -1,6 +1,5 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.Listing;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -11,6 +10,7 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.Listing;
 import org.saffronshore.state.StateClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -107,8 +107,7 @@
     onRecovered.run();
   }
 
-  private static Listing listing(
-      Map<String, Listing> listings, String prefix) {
+  private static Listing listing(Map<String, Listing> listings, String prefix) {
     return Objects.requireNonNull(listings.get(prefix), prefix);
   }
 
--- a/src/main/java/org/saffronshore/failover/TermTransactions.java
+++ b/src/main/java/org/saffronshore/failover/TermTransactions.java
@@ -1,11 +1,11 @@
 package org.saffronshore.failover;
 
-import org.saffronshore.state.RequestPriority;
 import java.util.function.Consumer;
 import org.saffronshore.config.Settings;
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.state.CommitResult;
 import org.saffronshore.state.Keys;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -92,7 +92,8 @@
   }
 
   private void vote(VoteRequest other, long requestVersion, Runnable onWritten) {
-    if (other.incarnation() == null
+    if (other.node() == null
+        || other.incarnation() == null
         || !granter.grant(new ControllerProcess(other.node(), other.incarnation()), other.term())) {
       onWritten.run();
       return;
--- a/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
+++ b/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.saffronshore.config.Settings;
 import org.saffronshore.config.Peer;
+import org.saffronshore.config.Settings;
 
 /** Relays heartbeats of workers that cannot reach the leader. */
 public final class HeartbeatRelay {
--- a/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
+++ b/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.saffronshore.config.Settings;
 import org.saffronshore.config.Peer;
+import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 
 /**
--- a/src/main/java/org/saffronshore/peer/PeerReachability.java
+++ b/src/main/java/org/saffronshore/peer/PeerReachability.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.saffronshore.config.Settings;
 import org.saffronshore.config.Peer;
+import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
 
 /**
--- a/src/main/java/org/saffronshore/peer/PeerVotingClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerVotingClient.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.saffronshore.config.Settings;
 import org.saffronshore.config.Peer;
+import org.saffronshore.config.Settings;
 import org.saffronshore.leadership.PeerVoting;
 
 /** Requests votes of the peers for a candidate, and tells them when it withdraws. */
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.MachineKind;
+import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
 /**
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -1,7 +1,6 @@
 package org.saffronshore.scheduling;
 
 import org.saffronshore.config.TeamQuota;
-import org.saffronshore.config.Settings;
 import org.saffronshore.wire.JobSpec;
 
 /**
--- a/src/main/java/org/saffronshore/wire/InvalidFieldException.java
+++ b/src/main/java/org/saffronshore/wire/InvalidFieldException.java
@@ -4,13 +4,22 @@
 public final class InvalidFieldException extends Exception {
   private static final long serialVersionUID = 1L;
   private final String field;
+  private final String problem;
 
   public InvalidFieldException(String field, String problem) {
-    super(field + ": " + problem, null, false, false);
+    super(null, null, false, false);
     this.field = field;
+    this.problem = problem;
   }
 
+  /** The path of the field. */
   public String field() {
     return field;
   }
+
+  /** The field, and what is wrong with it. */
+  @Override
+  public String getMessage() {
+    return field + ": " + problem;
+  }
 }
--- a/src/test/java/org/saffronshore/ArchitectureTest.java
+++ b/src/test/java/org/saffronshore/ArchitectureTest.java
@@ -18,9 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which package may use which, as docs/architecture.md tells it. */
-@AnalyzeClasses(
-    packages = "org.saffronshore",
-    importOptions = ImportOption.DoNotIncludeTests.class)
+@AnalyzeClasses(packages = "org.saffronshore", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
   private static final Path SOURCES = Path.of("src/main/java/org/saffronshore");
 
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -7,7 +7,6 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
-import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Set;
@@ -19,6 +18,7 @@
 import org.saffronshore.wire.Command;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 
 /**
@@ -200,7 +200,8 @@
               task("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertEquals(
-        List.of("wk-0"), cluster.view().pendingJobs(true).stream().map(job -> job.job().id()).toList());
+        List.of("wk-0"),
+        cluster.view().pendingJobs(true).stream().map(job -> job.job().id()).toList());
     assertFalse(machine("host-4").isQuarantined());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -6,18 +6,18 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
-import org.saffronshore.JobBuilder;
-import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
@@ -32,7 +32,8 @@
   @CsvSource({"0.5, false", "1.1, true"})
   void epochFoundByDirectCommandHasAWholeLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
+    cluster.machineListed(
+        new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     Machine machine = machine("host-1");
     cluster.batchCompleted(
         nextBatch(machine), DeliveryOutcome.EXECUTED, report("host-1", 1, ++sequence, TERM));
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -8,7 +8,6 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
-import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -23,6 +22,7 @@
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
@@ -57,7 +57,8 @@
     job(1);
     Machine machine = machine("host-1");
     assertNull(cluster.nextBatch(machine), "its address is not known");
-    cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
+    cluster.machineListed(
+        new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     assertEquals(machine, cluster.nextMachineWithCommands());
     CommandBatch guess = nextBatch(machine);
     assertEquals(1, guess.epoch());
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -6,12 +6,12 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
-import org.saffronshore.JobBuilder;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.saffronshore.JobBuilder;
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -4,7 +4,6 @@
 import static org.saffronshore.TestData.report;
 import static org.saffronshore.TestData.task;
 
-import org.saffronshore.wire.ListedMachine;
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.Objects;
@@ -15,6 +14,7 @@
 import org.saffronshore.scheduling.QuotaUsage;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
+import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
--- a/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
+++ b/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
@@ -40,8 +40,8 @@
     PeerMessage message =
         new PeerMessage("n-1", "x", number, available, availableAgoS, PeerMessage.NO_TERM, null);
     process.node.handlePeer(
-            new Request("POST", "/peer/hello", message.toCbor()),
-            (code, type, bytes, retryAfterS) -> assertEquals(200, code));
+        new Request("POST", "/peer/hello", message.toCbor()),
+        (code, type, bytes, retryAfterS) -> assertEquals(200, code));
   }
 
   private int heartbeatStatus() {
@@ -195,18 +195,18 @@
       String path, String candidate, String incarnation, long number, long term) {
     boolean[] granted = new boolean[1];
     process.node.handlePeer(
-            new Request(
-                "POST",
-                path,
-                Json.cbor(
-                    Json.object()
-                        .put("node", candidate)
-                        .put("life", incarnation)
-                        .put("n", number)
-                        .put("term", term)
-                        .put("served", true))),
-            (code, type, bytes, retryAfterS) ->
-                granted[0] = Json.bool(Json.parseCbor(bytes), "granted"));
+        new Request(
+            "POST",
+            path,
+            Json.cbor(
+                Json.object()
+                    .put("node", candidate)
+                    .put("life", incarnation)
+                    .put("n", number)
+                    .put("term", term)
+                    .put("served", true))),
+        (code, type, bytes, retryAfterS) ->
+            granted[0] = Json.bool(Json.parseCbor(bytes), "granted"));
     return granted[0];
   }
 
--- a/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
+++ b/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.saffronshore.config.TeamQuota;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -12,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.saffronshore.TestData;
 import org.saffronshore.admin.Metrics;
-import org.saffronshore.config.Settings;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.scheduling.PendingJob;
 import org.saffronshore.scheduling.SchedulingCycle;
 import org.saffronshore.scheduling.SchedulingPlan;
--- a/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.saffronshore.state.RequestPriority;
 import com.fasterxml.jackson.databind.node.LongNode;
 import java.util.Map;
 import java.util.Set;
@@ -14,6 +13,7 @@
 import org.saffronshore.ManualEventLoop;
 import org.saffronshore.TestData;
 import org.saffronshore.state.CommitResult;
+import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.state.Transaction;
 
@@ -30,7 +30,10 @@
     PagedRecords.Batch batch = source.addTo(transaction, 8, 1000);
     boolean[] written = new boolean[1];
     if (!batch.isEmpty()) {
-      state.commit(transaction, RequestPriority.VITAL, result -> written[0] = batch.completed(state, result));
+      state.commit(
+          transaction,
+          RequestPriority.VITAL,
+          result -> written[0] = batch.completed(state, result));
       loop.pass(2);
     }
     return written[0];
@@ -43,7 +46,9 @@
         RequestPriority.VITAL,
         listing ->
             new PagedRecords("r/", new PageLimits(MAX_BYTES, 2 * MAX_BYTES))
-                .load(listing.orElseThrow().entries(), (name, value) -> all.put(name, value.asLong())));
+                .load(
+                    listing.orElseThrow().entries(),
+                    (name, value) -> all.put(name, value.asLong())));
     loop.pass(1);
     return all;
   }
@@ -150,7 +155,10 @@
     }
     assertTrue(write(recordsWithLongPages));
     service.valueBytes = 2 * MAX_BYTES;
-    state.list("r/", RequestPriority.VITAL, listing -> records.load(listing.orElseThrow().entries(), (name, value) -> {}));
+    state.list(
+        "r/",
+        RequestPriority.VITAL,
+        listing -> records.load(listing.orElseThrow().entries(), (name, value) -> {}));
     loop.pass(1);
     assertTrue(records.isSplitting());
     // A copy whose entries are removed meanwhile may be left that was never written.
--- a/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
@@ -1,6 +1,5 @@
 package org.saffronshore.scheduling;
 
-import org.saffronshore.config.TeamQuota;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.BitSet;
@@ -11,9 +10,9 @@
 import java.util.Objects;
 import java.util.Random;
 import java.util.Set;
-import org.saffronshore.config.Settings;
-import org.saffronshore.wire.MachineKind;
+import org.saffronshore.config.TeamQuota;
 import org.saffronshore.wire.JobSpec;
+import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.TaskId;
 
 /** Machines, waiting jobs and teams that a test sets up, and cycles over them. */
