--- a/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -108,14 +108,14 @@
           if (term.hasEnded()) {
             return;
           }
-          switch (result.outcome()) {
-            case RECEIVED -> {
-              apply(result.events());
-              cancellations.recordRead(requestedAt);
-              watch(result.revision());
-            }
-            case COMPACTED -> relist();
-            case UNKNOWN -> loop.schedule(retryDelayS, () -> watch(revision));
+          if (result.isReceived()) {
+            apply(result.events());
+            cancellations.recordRead(requestedAt);
+            watch(result.revision());
+          } else if (result.outcome() == WatchResult.Outcome.COMPACTED) {
+            relist();
+          } else {
+            loop.schedule(retryDelayS, () -> watch(revision));
           }
         });
   }
