--- a/src/main/java/org/saffronshore/failover/CancellationHorizon.java
+++ b/src/main/java/org/saffronshore/failover/CancellationHorizon.java
@@ -32,12 +32,12 @@
     this.settings = settings;
   }
 
-  /** All cancellations were read from the state service, which was asked at that moment. */
+  /** All cancellations were read from the state service, by a request of that moment. */
   public void recordRead(double requestedAt) {
     readAt = Math.max(readAt, requestedAt);
   }
 
-  /** When the state service was last asked for what was read. */
+  /** When the last request was sent whose response was read. */
   double readAt() {
     return readAt;
   }
@@ -46,7 +46,7 @@
    * A peer has reported every cancellation that it learned of. This counts only if there is no gap
    * to what is known already.
    *
-   * @param requestedAt when the peer was asked
+   * @param requestedAt when the request to the peer was sent
    * @param completeSince since when nothing is missing in the report
    */
   public void recordPeerReport(String peer, double requestedAt, double completeSince) {
--- a/src/main/java/org/saffronshore/failover/CancellationTracker.java
+++ b/src/main/java/org/saffronshore/failover/CancellationTracker.java
@@ -38,7 +38,7 @@
     this.horizon = new CancellationHorizon(settings);
   }
 
-  /** The open jobs were read from the state service, which was asked at that moment. */
+  /** The open jobs were read from the state service, by a request of that moment. */
   void recordRead(double requestedAt) {
     horizon.recordRead(requestedAt);
     term.allowRenewalsUntil(horizon.renewalsAllowedUntil());
--- a/src/main/java/org/saffronshore/failover/Failover.java
+++ b/src/main/java/org/saffronshore/failover/Failover.java
@@ -105,7 +105,7 @@
   /**
    * A peer has reported every cancellation that it learned of since a moment.
    *
-   * @param requestedAt when the peer was asked
+   * @param requestedAt when the request to the peer was sent
    * @param completeSince since when none is missing
    * @param jobs the cancelled jobs
    */
