--- a/src/main/java/org/saffronshore/wire/InvalidFieldException.java
+++ b/src/main/java/org/saffronshore/wire/InvalidFieldException.java
@@ -1,6 +1,9 @@
 package org.saffronshore.wire;
 
+import org.jspecify.annotations.NullMarked;
+
 /** A message or settings field that is missing or has a value that it may not have. */
+@NullMarked
 public final class InvalidFieldException extends Exception {
   private static final long serialVersionUID = 1L;
   private final String field;
