--- a/src/test/java/org/saffronshore/compatibility/StateAnswersTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StateAnswersTest.java
@@ -88,6 +88,21 @@
     assertEquals(expected, status(node.ask("POST", "/work", job("wk-1", 1))));
   }
 
+  /** 400: one of those that share a transaction is at fault, so each is sent again alone. */
+  @ParameterizedTest
+  @CsvSource({"400, 201, 4", "503, 503, 2", "429, 429, 2"})
+  void answerToSubmissionsThatShareATransactionGivesTheirUsers(
+      int status, int expected, int transactions) {
+    StoredNode node = cluster.follower();
+    cluster.answer("POST /commit {'Guards':[{'K':'j/wk-2',", new Canned(status, "{}"));
+    List<String> answers =
+        node.askAtOnce("POST", "/work", job("wk-1", 1), job("wk-2", 1), job("wk-3", 1));
+    List<Integer> statuses =
+        answers.stream().map(answer -> Integer.parseInt(answer.substring(0, 3))).toList();
+    assertEquals(List.of(201, expected, expected), statuses);
+    assertEquals(transactions, cluster.commits().size());
+  }
+
   /** A needed job ended since it was read: its end is read, and the submission sent again. */
   @Test
   void refusalForANeededJobIsFollowedByASubmissionWithoutThatGuard() {
--- a/src/test/java/org/saffronshore/compatibility/StateAnswersToLeadersTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StateAnswersToLeadersTest.java
@@ -167,6 +167,25 @@
     assertEquals(List.of("wk-8/0"), worker.stopped);
   }
 
+  /** A job is ended only as long as its key has the version that the change named. */
+  @Test
+  void versionOfAChangeIsNamedByTheEndOfTheJob() {
+    StoredNode node = cluster.leader("m/types", TYPES);
+    cluster.answer(
+        "GET /changes?Under=j/",
+        new Canned(
+            200,
+            "{'Ledger':31,'Events':[{'Set':'j/wk-8','Stamp':30,'Data':" + open("wk-8", 1) + "}]}"));
+    StoredWorker worker = cluster.machine("host-1", "a");
+    worker.reportTo(node);
+    cluster.loop.pass(3);
+    worker.end("wk-8/0", "done");
+    cluster.loop.pass(2);
+    String end =
+        "{'Guards':[{'K':'l/leader','Stamp':3},{'K':'j/wk-8','Stamp':30},{'K':'f/wk-8','Stamp':0}],";
+    assertTrue(cluster.commits().stream().anyMatch(commit -> commit.startsWith(json(end))));
+  }
+
   /** 410: the open jobs are listed again. Otherwise the watch is repeated. */
   @ParameterizedTest
   @CsvSource({"410, 2", "503, 1", "0, 1"})
--- a/src/test/java/org/saffronshore/compatibility/StoredCluster.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredCluster.java
@@ -71,8 +71,14 @@
   /** What peers answer, in CBOR, by path; null where nobody is there. */
   Function<String, byte[]> peers = path -> null;
 
+  /** What the cloud was asked to rent. */
+  final List<String> rentals = new ArrayList<>();
+
   boolean cloudAway;
 
+  /** The cloud does not tell its machine types, but answers everything else. */
+  boolean typesAway;
+
   /** Requests that were made by another thread than the test's. */
   final BlockingQueue<Runnable> handedOver = new LinkedBlockingQueue<>();
 
@@ -318,7 +324,7 @@
   }
 
   private Canned cloud(String path, String body) {
-    if (cloudAway) {
+    if (cloudAway || (typesAway && path.equals("/machine_types"))) {
       return new Canned(503, "{}");
     } else if (path.equals("/machine_types")) {
       return new Canned(200, TYPES);
@@ -336,6 +342,7 @@
           .forEach(this::gone);
       return new Canned(200, "{}");
     }
+    rentals.add(body);
     return new Canned(503, "{'error':'no capacity'}");
   }
 }
--- a/src/test/java/org/saffronshore/compatibility/StoredControlFormsTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredControlFormsTest.java
@@ -234,6 +234,51 @@
     assertEquals("[wk-1/0]", cluster.started.toString());
   }
 
+  /** Prices change all the time, and are not worth a transaction. */
+  @ParameterizedTest(name = "{0} {1}")
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "'Label':'big' | 'Label':'big' | false",
+        "'Label':'gpu' | 'Label':'old' | true",
+        "'Cores':8 | 'Cores':9 | true",
+        "'Accelerators':2 | 'Accelerators':3 | true",
+        "'RamGb':64 | 'RamGb':65 | true",
+        "'CacheGb':50 | 'CacheGb':51 | true",
+        "'FetchGbPerS':0.25 | 'FetchGbPerS':0.5 | true",
+        "'BootS':40 | 'BootS':41 | true",
+        "'Depots':['b'] | 'Depots':['a'] | true",
+        "'Hourly':6.75 | 'Hourly':6.5 | false",
+        "'LowPrice':0.5 | 'LowPrice':0.25 | false"
+      })
+  void machineTypesAreWrittenAgainWhenTheCloudTellsOthers(
+      String told, String stored, boolean written) {
+    cluster.leader("m/types", TYPES.replace(json(told), json(stored)));
+    assertEquals(written ? TYPES : null, cluster.written("m/types"));
+  }
+
+  /** The prices that are stored decide what is rented while the cloud does not tell its types. */
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "'Hourly':2 | 'Hourly':2 | true | 'Rig':'big','Depot':'a','Loaner':true",
+        "'LowPrice':0.5 | 'LowPrice':1.9 | true | 'Rig':'big','Depot':'a','Loaner':true",
+        "'LowPrice':0.5 | 'LowPrice':2.5 | true | 'Rig':'big','Depot':'a','Loaner':false",
+        "'Hourly':2 | 'Hourly':2 | false | 'Rig':'big','Depot':'a','Loaner':false",
+        "'Hourly':2 | 'Hourly':20 | false | 'Rig':'gpu','Depot':'b','Loaner':false"
+      })
+  void machineTypesNameThePricesByWhichMachinesAreRented(
+      String from, String to, boolean mayBeTakenBack, String rental) {
+    cluster.typesAway = true;
+    String job = open("wk-1", 1).replace("\"Loaner\":true", "\"Loaner\":" + mayBeTakenBack);
+    cluster.leader("m/types", TYPES.replace(json(from), json(to)), "j/wk-1", job);
+    cluster.loop.pass(3);
+    assertEquals(json("{'Hire':'r-1-1'," + rental + ",'Count':1}"), cluster.rentals.get(0));
+  }
+
   // Operators' settings
 
   @ParameterizedTest
