--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -1,6 +1,5 @@
 package org.saffronshore.api;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
@@ -19,8 +18,8 @@
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.JobStatusResponse;
-import org.saffronshore.wire.Json;
 import org.saffronshore.wire.MachineType;
+import org.saffronshore.wire.SubmissionRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -75,13 +74,12 @@
 
   void submit(Request request, Responder responder) {
     double receivedAt = loop.now();
-    JsonNode body = request.json();
+    SubmissionRequest submission = SubmissionRequest.read(request.body());
     JobSpec job;
     try {
-      job = parse(body);
+      job = parse(submission);
     } catch (InvalidFieldException e) {
-      String id = body == null ? null : JobSpec.idOf(body);
-      rejectUnlessKnown(id, BAD_REQUEST, String.valueOf(e.getMessage()), responder);
+      rejectUnlessKnown(submission.id(), BAD_REQUEST, e.getMessage(), responder);
       return;
     }
     if (machineTypes.get().isEmpty()) {
@@ -99,14 +97,11 @@
         result -> respondSubmitted(job.id(), result, receivedAt, responder));
   }
 
-  private JobSpec parse(@Nullable JsonNode body) throws InvalidFieldException {
-    if (body == null) {
-      throw new InvalidFieldException("body", "is not JSON");
-    }
-    JobSpec job = JobSpec.parse(body);
+  private JobSpec parse(SubmissionRequest submission) throws InvalidFieldException {
+    JobSpec job = submission.job();
     // The state service would refuse the whole transaction, and with it the submissions that share
     // it.
-    if (Json.bytes(job.toJson()).length > settings.maxValueKb() * 1024 - RECORD_BYTES) {
+    if (job.encodedLength() > settings.maxValueKb() * 1024 - RECORD_BYTES) {
       throw new InvalidFieldException("body", "is longer than what can be kept of a job");
     }
     return job;
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -168,6 +168,11 @@
         newDependencies);
   }
 
+  /** How many bytes the job takes in the form of {@link #toJson}. */
+  public int encodedLength() {
+    return Json.bytes(toJson()).length;
+  }
+
   /** The form in which users submit a job and in which it is stored. */
   public ObjectNode toJson() {
     ObjectNode json = Json.object();
