--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -27,174 +27,14 @@
     hidden = true,
     description = "Runs for a moment, for the build to archive classes.")
 final class CdsTrainingCommand implements Callable<Integer> {
-  /** Classes that only a leader or a candidate loads, below {@link #BASE_PACKAGE}. */
-  private static final List<String> LEADER_CLASSES =
-      List.of(
-          "cluster.Cluster",
-          "cluster.AttemptLifecycle",
-          "cluster.CommandBatch",
-          "cluster.CommandBuilder",
-          "cluster.CommandDelivery",
-          "cluster.CommandDispatcher",
-          "cluster.CommandQueue",
-          "cluster.DeliveryOutcome",
-          "cluster.HeartbeatReconciler",
-          "cluster.ImageCache",
-          "cluster.MachineHealth",
-          "cluster.MachineLifecycle",
-          "cluster.MachineTasks",
-          "cluster.PossibleTasks",
-          "cluster.Reconciliation",
-          "cluster.RegistryEntry",
-          "cluster.StopReason",
-          "cluster.TaskStatusReconciler",
-          "cluster.WorkerEpochs",
-          "cluster.WorkerLease",
-          "cluster.ClusterView",
-          "cluster.QuotaAccounting",
-          "cluster.JobTable",
-          "cluster.MachineTable",
-          "cluster.RuntimeEstimator",
-          "cluster.MachineRegistry",
-          "cluster.UnresponsiveMachineDetector",
-          "cluster.Machine",
-          "cluster.Job",
-          "cluster.Attempt",
-          "cluster.Attempt$State",
-          "control.Leader",
-          "control.LeaderServices",
-          "control.LeadershipMonitor",
-          "control.CommandSender",
-          "control.HeartbeatService",
-          "control.OperatorSettingsReader",
-          "control.SchedulingLoop",
-          "autoscaling.Autoscaler",
-          "autoscaling.BootTimes",
-          "autoscaling.CapacityBackoff",
-          "autoscaling.CapacityForecast",
-          "autoscaling.Consolidation",
-          "autoscaling.MachineListPoller",
-          "autoscaling.MachineReturns",
-          "autoscaling.RentalOrders",
-          "autoscaling.RentalOrders$RentalOrder",
-          "autoscaling.ReturnReason",
-          "autoscaling.ScaleIn",
-          "autoscaling.ScaleOut",
-          "autoscaling.ScarceTypes",
-          "autoscaling.SpareCapacity",
-          "autoscaling.WaitObjectives",
-          "cloud.RentalResult",
-          "cloud.RentalResult$Outcome",
-          "peer.PeerMessage",
-          "peer.PeerResponse",
-          "failover.Failover",
-          "failover.TermRecovery",
-          "failover.TermRecovery$Stores",
-          "failover.TermTransactions",
-          "failover.FinishedTasksStore",
-          "failover.LaunchWatermarkStore",
-          "failover.MachineRegistryStore",
-          "failover.JobOutcomeWriter",
-          "failover.JobRemoval",
-          "failover.CancellationTracker",
-          "failover.CancellationHorizon",
-          "failover.DependencyResolver",
-          "failover.OpenJobWatcher",
-          "failover.PageLimits",
-          "failover.PagedRecords",
-          "failover.PagedRecords$Batch",
-          "peer.JobProgress",
-          "peer.TermProgress",
-          "peer.PeerResponse$Cancellations",
-          "peer.PeerVotingClient$VoteCount",
-          "peer.OutdatedMessageDetector",
-          "peer.OutdatedMessageDetector$Sender",
-          "wire.JobStatusResponse",
-          "wire.JobStatusResponse$Status",
-          "wire.RedirectResponse",
-          "control.OpenJobWatcher",
-          "control.TermStore",
-          "control.PagedRecords",
-          "control.PagedRecords$Batch",
-          "scheduling.FailedPlacements",
-          "fleet.Forecast",
-          "fleet.Forecast$MachineTimeline",
-          "fleet.DisplacedTasks",
-          "scheduling.SchedulingCycle",
-          "scheduling.TeamQueues",
-          "scheduling.TeamQueue",
-          "scheduling.QueueEntry",
-          "scheduling.QueueEntry$Waiting",
-          "scheduling.QueueEntry$Evicted",
-          "scheduling.FairShareOrder",
-          "scheduling.FairShareOrder$Head",
-          "scheduling.Eviction",
-          "scheduling.MachineSelector",
-          "scheduling.PreemptionPlanner",
-          "scheduling.PreemptionPlanner$Choice",
-          "scheduling.VictimSelector",
-          "scheduling.OverdueReservation",
-          "scheduling.PreemptionReason",
-          "scheduling.SchedulingPlan",
-          "scheduling.SchedulingPlan$Placement",
-          "scheduling.SchedulingPlan$QuotaLimitedTasks",
-          "scheduling.MachineView",
-          "scheduling.MachineView$Sharing",
-          "scheduling.PendingJob",
-          "scheduling.Team",
-          "scheduling.QuotaUsage",
-          "scheduling.QuotaUsage$Amounts",
-          "scheduling.Resources",
-          "scheduling.PlacedTask",
-          "fleet.ScaleOutPlan",
-          "wire.MachineKind",
-          "wire.Heartbeat",
-          "wire.Command",
-          "wire.CommandMessage",
-          "wire.CommandResponse",
-          "wire.TaskId",
-          "wire.MachineType",
-          "wire.ListedMachine",
-          "wire.MachineListPage",
-          "wire.RentalRequest",
-          "wire.RentalResponse",
-          "wire.ReturnRequest",
-          "admin.OperatorSettings",
-          "state.CommitResult",
-          "state.JobCache$Closure",
-          "state.JobCache$OpenJob",
-          "state.JobOutcome",
-          "state.JobRecord",
-          "state.LeaderRecord",
-          "state.LeaseGrant",
-          "state.LeaseRenewal",
-          "state.Listing",
-          "state.ListingPage",
-          "state.Transaction",
-          "state.JobRecord",
-          "state.FinishedTasksChunk",
-          "state.LaunchWatermarkEntry",
-          "state.MachineRegistryEntry",
-          "state.OpenJobChecker",
-          "state.OpenJobChecker$Check",
-          "state.StoredEntry",
-          "state.Submission",
-          "state.SubmissionBatch",
-          "state.SubmissionQueue",
-          "state.Transaction",
-          "state.WatchResult",
-          "state.WatchResult$Event",
-          "leadership.CampaignOutcome$Lost",
-          "leadership.CampaignOutcome$Reason",
-          "leadership.CampaignOutcome$Won",
-          "leadership.LastTerm",
-          "leadership.LeaderTerm",
-          "leadership.LeaseRequest",
-          "leadership.LeaseRequest$Role",
-          "leadership.StoreLease");
-
   private static final String BASE_PACKAGE = "org.saffronshore.";
   private static final String SETTINGS_RESOURCE = "cds-training.json";
+
+  /**
+   * One class a line, below {@link #BASE_PACKAGE}: those that only a leader or a candidate loads.
+   */
+  private static final String CLASSES_RESOURCE = "cds-classes.txt";
+
   private static final long DURATION_MS = 1_500;
   private static final long ROUND_INTERVAL_MS = 100;
   private static final List<String> POST_PATHS =
@@ -218,14 +58,17 @@
 
   private static Settings settings(int port, int peerPort)
       throws IOException, InvalidFieldException {
+    return Settings.parse(
+        resource(SETTINGS_RESOURCE)
+            .replace("${port}", Integer.toString(port))
+            .replace("${peer}", Integer.toString(peerPort))
+            .getBytes(UTF_8));
+  }
+
+  private static String resource(String name) throws IOException {
     try (InputStream resource =
-        Objects.requireNonNull(CdsTrainingCommand.class.getResourceAsStream(SETTINGS_RESOURCE))) {
-      String template = new String(resource.readAllBytes(), UTF_8);
-      return Settings.parse(
-          template
-              .replace("${port}", Integer.toString(port))
-              .replace("${peer}", Integer.toString(peerPort))
-              .getBytes(UTF_8));
+        Objects.requireNonNull(CdsTrainingCommand.class.getResourceAsStream(name), name)) {
+      return new String(resource.readAllBytes(), UTF_8);
     }
   }
 
@@ -254,8 +97,8 @@
     }
   }
 
-  private static void loadLeaderClasses() {
-    for (String name : LEADER_CLASSES) {
+  private static void loadLeaderClasses() throws IOException {
+    for (String name : resource(CLASSES_RESOURCE).lines().toList()) {
       try {
         Class.forName(BASE_PACKAGE + name);
       } catch (ClassNotFoundException e) {
--- a/src/main/java/org/saffronshore/wire/InvalidFieldException.java
+++ b/src/main/java/org/saffronshore/wire/InvalidFieldException.java
@@ -9,6 +9,12 @@
   private final String field;
   private final String problem;
 
+  /**
+   * Names a field and what is wrong with it.
+   *
+   * @param field the path of the field, or {@code body} for the message as a whole
+   * @param problem continues a sentence that begins with the field
+   */
   public InvalidFieldException(String field, String problem) {
     super(null, null, false, false);
     this.field = field;
