--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -5,8 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.function.Supplier;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
+import org.saffronshore.state.GetResult;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.RequestPriority;
 import org.saffronshore.state.StateClient;
@@ -21,45 +23,39 @@
  * not overwrite each other.
  */
 public final class AdminApi {
+  private static final String METRICS_PATH = "/metrics";
+  private static final String STATUS_PATH = "/admin/status";
+  private static final String SETTINGS_PATH = "/admin/settings";
+  private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+  private static final String VERSION_FIELD = "version";
+  private static final String SETTINGS_FIELD = "settings";
+  private static final int RETRY_AFTER_S = 1;
+
   private final StateClient state;
   private final Metrics metrics;
   private final Set<String> teams;
-  private final Supplier<ObjectNode> status;
+  private final Supplier<ControllerStatus> status;
 
   /**
-   * @param status what GET /admin/status answers
+   * Serves nothing until requests are handed to it.
+   *
+   * @param teams the teams that may have a weight of their own
+   * @param status the status of this controller at the moment
    */
   public AdminApi(
-      StateClient state, Metrics metrics, Set<String> teams, Supplier<ObjectNode> status) {
+      StateClient state, Metrics metrics, Set<String> teams, Supplier<ControllerStatus> status) {
     this.state = state;
     this.metrics = metrics;
     this.teams = teams;
     this.status = status;
   }
 
-  /** Answers a request that is the API's; false when the path is not. */
-  public boolean handle(Request request, Responder reply) {
+  /** Handles a request if its path is the API's; false when it is not. */
+  public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
-      case "/metrics" ->
-          get(
-              request,
-              reply,
-              () ->
-                  reply.send(
-                      200,
-                      "text/plain; version=0.0.4; charset=utf-8",
-                      metrics.scrape().getBytes(StandardCharsets.UTF_8),
-                      0));
-      case "/admin/status" -> get(request, reply, () -> reply.json(200, status.get()));
-      case "/admin/settings" -> {
-        if (request.hasMethod("GET")) {
-          read(reply);
-        } else if (request.hasMethod("PUT")) {
-          change(request.json(), reply);
-        } else {
-          reply.error(405, "GET or PUT");
-        }
-      }
+      case METRICS_PATH -> get(request, responder, () -> respondMetrics(responder));
+      case STATUS_PATH -> get(request, responder, () -> responder.json(200, status.get().toJson()));
+      case SETTINGS_PATH -> handleSettings(request, responder);
       default -> {
         return false;
       }
@@ -67,49 +63,68 @@
     return true;
   }
 
-  private static void get(Request request, Responder reply, Runnable answer) {
+  private static void get(Request request, Responder responder, Runnable respond) {
+    if (request.hasMethod("GET")) {
+      respond.run();
+    } else {
+      responder.error(405, "GET only");
+    }
+  }
+
+  private void respondMetrics(Responder responder) {
+    byte[] body = metrics.scrape().getBytes(StandardCharsets.UTF_8);
+    responder.send(200, METRICS_CONTENT_TYPE, body, 0);
+  }
+
+  private void handleSettings(Request request, Responder responder) {
     if (request.hasMethod("GET")) {
-      answer.run();
+      readSettings(responder);
+    } else if (request.hasMethod("PUT")) {
+      changeSettings(request.json(), responder);
     } else {
-      reply.error(405, "GET only");
+      responder.error(405, "GET or PUT");
     }
   }
 
-  private void read(Responder reply) {
+  private void readSettings(Responder responder) {
     state.get(
         Keys.OPERATOR_SETTINGS,
         RequestPriority.NORMAL,
-        answer -> {
-          if (answer.isMissing()) {
-            reply.json(200, versioned(OperatorSettings.DEFAULTS.toJson(), 0));
-          } else if (answer.isFound()) {
-            try {
-              OperatorSettings stored = OperatorSettings.parse(answer.value(), teams);
-              reply.json(200, versioned(stored.toJson(), answer.version()));
-            } catch (InvalidFieldException e) {
-              reply.error(500, "stored settings: " + e.getMessage());
-            }
+        stored -> {
+          if (stored.isMissing()) {
+            responder.json(200, versioned(OperatorSettings.DEFAULTS, 0));
+          } else if (stored.isFound()) {
+            respondStored(stored, responder);
           } else {
-            reply.retryLater(503, "the state service does not answer", 1);
+            respondUnavailable(responder);
           }
         });
   }
 
-  private static ObjectNode versioned(ObjectNode settings, long version) {
-    ObjectNode o = Json.object().put("version", version);
-    o.set("settings", settings);
-    return o;
+  private void respondStored(GetResult stored, Responder responder) {
+    try {
+      OperatorSettings settings = OperatorSettings.parse(stored.value(), teams);
+      responder.json(200, versioned(settings, stored.version()));
+    } catch (InvalidFieldException e) {
+      responder.error(500, "stored settings: " + e.getMessage());
+    }
+  }
+
+  private static ObjectNode versioned(OperatorSettings settings, long version) {
+    ObjectNode tree = Json.object().put(VERSION_FIELD, version);
+    tree.set(SETTINGS_FIELD, settings.toJson());
+    return tree;
   }
 
-  private void change(JsonNode body, Responder reply) {
+  private void changeSettings(@Nullable JsonNode body, Responder responder) {
     OperatorSettings settings;
     long version;
     try {
-      FieldReader f = FieldReader.of(body, "");
-      version = f.count("version", 0, Long.MAX_VALUE);
-      settings = OperatorSettings.parse(f.object("settings").node(), teams);
+      FieldReader fields = FieldReader.of(body, "");
+      version = fields.count(VERSION_FIELD, 0, Long.MAX_VALUE);
+      settings = OperatorSettings.parse(fields.object(SETTINGS_FIELD).node(), teams);
     } catch (InvalidFieldException e) {
-      reply.json(400, Json.object().put("error", e.getMessage()).put("field", e.field()));
+      responder.json(400, Json.object().put("error", e.getMessage()).put("field", e.field()));
       return;
     }
     state.commit(
@@ -117,14 +132,18 @@
             .expectVersion(Keys.OPERATOR_SETTINGS, version)
             .put(Keys.OPERATOR_SETTINGS, settings.toJson()),
         RequestPriority.NORMAL,
-        answer -> {
-          if (answer.isCommitted()) {
-            reply.json(200, versioned(settings.toJson(), answer.revision()));
-          } else if (answer.isConflict()) {
-            reply.error(409, "the settings have another version by now: read them again");
+        result -> {
+          if (result.isCommitted()) {
+            responder.json(200, versioned(settings, result.revision()));
+          } else if (result.isConflict()) {
+            responder.error(409, "the settings have another version by now: read them again");
           } else {
-            reply.retryLater(503, "the state service does not answer", 1);
+            respondUnavailable(responder);
           }
         });
   }
+
+  private static void respondUnavailable(Responder responder) {
+    responder.retryLater(503, "the state service does not answer", RETRY_AFTER_S);
+  }
 }
--- a/src/main/java/org/saffronshore/admin/Metrics.java
+++ b/src/main/java/org/saffronshore/admin/Metrics.java
@@ -9,8 +9,10 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.DoubleSupplier;
 import org.HdrHistogram.Histogram;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What a node counts. Counting is plain arithmetic on the loop; the registry is only made when
@@ -20,17 +22,17 @@
 
   /** Counters, with the names that operators see. */
   public enum Counter {
-    SUBMITTED("jobs_submitted"),
-    REFUSED("requests_refused"),
-    REPORTS("worker_reports"),
-    REDIRECTED("worker_reports_redirected"),
-    RELAYED("worker_reports_relayed"),
-    CYCLES("scheduling_cycles"),
-    PLACED("tasks_placed"),
-    STOPPED("tasks_stopped"),
-    RENTED("machines_rented"),
-    RETURNED("machines_returned"),
-    TERMS("terms_led");
+    JOBS_SUBMITTED("jobs_submitted"),
+    REQUESTS_REFUSED("requests_refused"),
+    HEARTBEATS("worker_reports"),
+    HEARTBEATS_REDIRECTED("worker_reports_redirected"),
+    HEARTBEATS_RELAYED("worker_reports_relayed"),
+    SCHEDULING_CYCLES("scheduling_cycles"),
+    TASKS_PLACED("tasks_placed"),
+    TASKS_STOPPED("tasks_stopped"),
+    MACHINES_RENTED("machines_rented"),
+    MACHINES_RETURNED("machines_returned"),
+    TERMS_LED("terms_led");
 
     private final String name;
 
@@ -43,9 +45,9 @@
   public enum Latency {
     SUBMIT("submit"),
     POLL("poll"),
-    REPORT("report"),
+    HEARTBEAT("report"),
     CYCLE("cycle"),
-    LOOP("loop_delay");
+    EVENT_LOOP_DELAY("loop_delay");
 
     private final String name;
 
@@ -56,6 +58,7 @@
 
   private static final String PREFIX = "saffronshore.";
   private static final double[] QUANTILES = {0.5, 0.9, 0.99, 1.0};
+  private static final double MICROS_PER_S = 1e6;
   private static final long MAX_MICROS = 60_000_000L;
 
   private final Map<Counter, long[]> counts = new EnumMap<>(Counter.class);
@@ -65,28 +68,38 @@
   /** A gauge, or a counter, that stands once for each value of some tags. */
   private record TaggedValue(String name, Tags tags, boolean counts, DoubleSupplier value) {}
 
-  private PrometheusMeterRegistry registry;
+  /** Made by the first scrape, since it would add to every start otherwise. */
+  private @Nullable PrometheusMeterRegistry registry;
 
   /** Starts with every counter at zero. */
   public Metrics() {
-    for (Counter c : Counter.values()) {
-      counts.put(c, new long[1]);
+    for (Counter counter : Counter.values()) {
+      counts.put(counter, new long[1]);
     }
-    for (Latency l : Latency.values()) {
-      latencies.put(l, new Histogram(MAX_MICROS, 2));
+    for (Latency latency : Latency.values()) {
+      latencies.put(latency, new Histogram(MAX_MICROS, 2));
     }
   }
 
-  public void increment(Counter count, long n) {
-    counts.get(count)[0] += n;
+  /** Adds to a counter. */
+  public void increment(Counter counter, long amount) {
+    cell(counter)[0] += amount;
   }
 
-  public long value(Counter count) {
-    return counts.get(count)[0];
+  /** What a counter has reached. */
+  public long value(Counter counter) {
+    return cell(counter)[0];
   }
 
+  private long[] cell(Counter counter) {
+    return Objects.requireNonNull(counts.get(counter), "every counter has a cell");
+  }
+
+  /** Records how long something took, in seconds. */
   public void recordLatency(Latency latency, double seconds) {
-    latencies.get(latency).recordValue(Math.min(MAX_MICROS, Math.max(0, (long) (seconds * 1e6))));
+    long micros = (long) (seconds * MICROS_PER_S);
+    Objects.requireNonNull(latencies.get(latency), "every latency has a histogram")
+        .recordValue(Math.min(MAX_MICROS, Math.max(0, micros)));
   }
 
   /** Adds a gauge; its name must be new. */
@@ -111,33 +124,43 @@
   /** All metrics in the text form that Prometheus reads. */
   public String scrape() {
     if (registry == null) {
-      registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-      counts.forEach(
-          (c, n) -> FunctionCounter.builder(PREFIX + c.name, n, v -> v[0]).register(registry));
-      tagged.forEach(this::register);
-      latencies.forEach(
-          (l, h) -> {
-            for (double q : QUANTILES) {
-              Gauge.builder(
-                      PREFIX + l.name + ".seconds", h, v -> v.getValueAtPercentile(q * 100) / 1e6)
-                  .tags(Tags.of("quantile", Double.toString(q)))
-                  .register(registry);
-            }
-            FunctionCounter.builder(PREFIX + l.name + ".count", h, Histogram::getTotalCount)
-                .register(registry);
-          });
+      registry = registerAll();
     }
     return registry.scrape();
   }
 
-  private void register(TaggedValue t) {
-    if (t.counts) {
-      FunctionCounter.builder(PREFIX + t.name, t.value, DoubleSupplier::getAsDouble)
-          .tags(t.tags)
+  private PrometheusMeterRegistry registerAll() {
+    PrometheusMeterRegistry all = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    counts.forEach(
+        (counter, cell) ->
+            FunctionCounter.builder(PREFIX + counter.name, cell, value -> value[0]).register(all));
+    tagged.forEach(metric -> register(metric, all));
+    latencies.forEach((latency, histogram) -> register(latency, histogram, all));
+    return all;
+  }
+
+  private static void register(
+      Latency latency, Histogram histogram, PrometheusMeterRegistry registry) {
+    for (double quantile : QUANTILES) {
+      Gauge.builder(
+              PREFIX + latency.name + ".seconds",
+              histogram,
+              values -> values.getValueAtPercentile(quantile * 100) / MICROS_PER_S)
+          .tags(Tags.of("quantile", Double.toString(quantile)))
+          .register(registry);
+    }
+    FunctionCounter.builder(PREFIX + latency.name + ".count", histogram, Histogram::getTotalCount)
+        .register(registry);
+  }
+
+  private static void register(TaggedValue metric, PrometheusMeterRegistry registry) {
+    if (metric.counts) {
+      FunctionCounter.builder(PREFIX + metric.name, metric.value, DoubleSupplier::getAsDouble)
+          .tags(metric.tags)
           .register(registry);
     } else {
-      Gauge.builder(PREFIX + t.name, t.value, DoubleSupplier::getAsDouble)
-          .tags(t.tags)
+      Gauge.builder(PREFIX + metric.name, metric.value, DoubleSupplier::getAsDouble)
+          .tags(metric.tags)
           .register(registry);
     }
   }
--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -55,7 +55,7 @@
 
   /** Whether a peer may have the state service, or nothing at all is reached from here. */
   private boolean othersServeBetter() {
-    return peers.anyPeerServedSince(stateService.lastResponseAt())
+    return peers.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
         || peers.isCutOff(maxPeerSilenceS);
   }
 }
--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -110,7 +110,7 @@
   private void respondSubmitted(
       String job, SubmissionResult result, double receivedAt, Responder responder) {
     if (result == SubmissionResult.ACCEPTED || result == SubmissionResult.ACCEPTED_UNVERIFIED) {
-      metrics.increment(Metrics.Counter.SUBMITTED, 1);
+      metrics.increment(Metrics.Counter.JOBS_SUBMITTED, 1);
       metrics.recordLatency(Metrics.Latency.SUBMIT, loop.now() - receivedAt);
     }
     Runnable response =
@@ -234,14 +234,14 @@
 
   private void respondUnavailable(Responder responder) {
     LOG.debug("Request refused: reason={}", "no response of the state service, or no budget left");
-    metrics.increment(Metrics.Counter.REFUSED, 1);
+    metrics.increment(Metrics.Counter.REQUESTS_REFUSED, 1);
     responder.retryLater(UNAVAILABLE, "the state service does not answer", RETRY_AFTER_S);
   }
 
   /** Refuses a request that the admission queue has no room for. */
   void respondBusy(Responder responder) {
     LOG.debug("Request refused: reason=overloaded");
-    metrics.increment(Metrics.Counter.REFUSED, 1);
+    metrics.increment(Metrics.Counter.REQUESTS_REFUSED, 1);
     responder.retryLater(TOO_MANY_REQUESTS, "too many requests", RETRY_AFTER_S);
   }
 }
--- a/src/main/java/org/saffronshore/api/WorkerApi.java
+++ b/src/main/java/org/saffronshore/api/WorkerApi.java
@@ -75,7 +75,7 @@
 
   /** Handles a heartbeat that a worker sent to this controller. */
   void handleHeartbeat(Request request, Responder responder) {
-    metrics.increment(Metrics.Counter.REPORTS, 1);
+    metrics.increment(Metrics.Counter.HEARTBEATS, 1);
     double receivedAt = loop.now();
     Heartbeat heartbeat = parse(request, responder);
     if (heartbeat == null) {
@@ -83,7 +83,7 @@
     }
     byte[] response = leader.handle(heartbeat);
     if (response != null) {
-      metrics.recordLatency(Metrics.Latency.REPORT, loop.now() - receivedAt);
+      metrics.recordLatency(Metrics.Latency.HEARTBEAT, loop.now() - receivedAt);
       responder.send(OK, Responder.CONTENT_TYPE_JSON, response, 0);
       return;
     }
@@ -104,7 +104,7 @@
       redirect(null, responder);
       return;
     }
-    metrics.increment(Metrics.Counter.RELAYED, 1);
+    metrics.increment(Metrics.Counter.HEARTBEATS_RELAYED, 1);
     redirects.recordRelayed(machine, leaderNode);
     responder.send(OK, Responder.CONTENT_TYPE_JSON, response.get(), 0);
   }
@@ -124,7 +124,7 @@
   }
 
   private void redirect(@Nullable String leaderNode, Responder responder) {
-    metrics.increment(Metrics.Counter.REDIRECTED, 1);
+    metrics.increment(Metrics.Counter.HEARTBEATS_REDIRECTED, 1);
     // This controller does not respond as the leader: to name it would bring the worker back here.
     String target = node.equals(leaderNode) ? null : leaderNode;
     responder.json(MISDIRECTED_REQUEST, new RedirectResponse(target).toJson());
--- a/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
@@ -41,7 +41,7 @@
   /** The cloud has fewer machines of this kind than were requested. */
   void onRefused(MachineKind kind) {
     double bootS = bootTimes.ofTypeS(kind.type());
-    Refusal refusal = refusals.computeIfAbsent(kind, k -> new Refusal());
+    Refusal refusal = refusals.computeIfAbsent(kind, key -> new Refusal());
     refusal.backoffS = Math.min(bootS, Math.max(bootS * FIRST_SHARE, refusal.backoffS * 2));
     refusal.backoffUntil = loop.now() + refusal.backoffS;
   }
--- a/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
@@ -57,7 +57,7 @@
   private void onResult(List<String> machines, boolean succeeded) {
     if (succeeded) {
       inFlight.removeAll(machines);
-      metrics.increment(Metrics.Counter.RETURNED, machines.size());
+      metrics.increment(Metrics.Counter.MACHINES_RETURNED, machines.size());
       machines.forEach(this::onReturned);
     } else if (term.isActive()) {
       loop.schedule(retryDelayS, () -> send(machines));
--- a/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
+++ b/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
@@ -129,7 +129,7 @@
   private void onRented(RentalOrder order, List<String> machines) {
     MachineKind kind = order.kind();
     LOG.debug("Rented machines: {} rented={}", order.request, machines.size());
-    metrics.increment(Metrics.Counter.RENTED, machines.size());
+    metrics.increment(Metrics.Counter.MACHINES_RENTED, machines.size());
     for (String machine : machines) {
       cluster.machineRented(machine, kind.type(), kind.zone(), kind.spot(), order.requestedAt);
     }
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -1,7 +1,6 @@
 package org.saffronshore.control;
 
 import io.netty.channel.IoEventLoopGroup;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -18,7 +17,6 @@
 import org.saffronshore.autoscaling.MachineTypeCache;
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.cluster.Cluster;
-import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.Client;
 import org.saffronshore.http.ConnectionLimit;
@@ -56,7 +54,7 @@
   private final Client client;
   private final RandomGenerator random;
   private final Metrics metrics = new Metrics();
-  private final QuotaMetrics teamMetrics;
+  private final QuotaMetrics quotaMetrics;
   private final StateClient state;
   private final StateServiceMonitor stateMonitor;
   private final JobStore store;
@@ -116,8 +114,8 @@
             this::knownCancellations,
             workers::handleRelayedHeartbeat);
     this.router = buildRouter(workers);
-    this.admin = new AdminApi(state, metrics, settings.teams().keySet(), () -> status().toJson());
-    this.teamMetrics = new QuotaMetrics(metrics, settings.teams().keySet());
+    this.admin = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
+    this.quotaMetrics = new QuotaMetrics(metrics, settings.teams().keySet());
     this.delayProbe = new EventLoopDelayProbe(loop, metrics, settings.heartbeatIntervalS() / 10);
     registerGauges();
   }
@@ -155,33 +153,7 @@
         () -> leader == null ? 0 : leader.cluster().dependencies().waitingCount());
   }
 
-  EventLoop loop() {
-    return loop;
-  }
-
-  Settings settings() {
-    return settings;
-  }
-
-  Client client() {
-    return client;
-  }
-
-  RandomGenerator random() {
-    return random;
-  }
-
-  Metrics metrics() {
-    return metrics;
-  }
-
-  QuotaMetrics teamMetrics() {
-    return teamMetrics;
-  }
-
-  PeerReachability peers() {
-    return peers;
-  }
+  // Parts that tests look at
 
   PeerVoting peerVoting() {
     return peerVoting;
@@ -195,14 +167,6 @@
     return state;
   }
 
-  JobStore store() {
-    return store;
-  }
-
-  CloudClient cloud() {
-    return cloud;
-  }
-
   Leadership leadership() {
     return leadership;
   }
@@ -252,7 +216,7 @@
 
   @Override
   public void onElected(long term, long keyVersion) {
-    metrics.increment(Metrics.Counter.TERMS, 1);
+    metrics.increment(Metrics.Counter.TERMS_LED, 1);
     state.setLeading(true);
     leader =
         new Leader(
@@ -267,7 +231,7 @@
                 leadership,
                 peers,
                 metrics,
-                teamMetrics),
+                quotaMetrics),
             term,
             keyVersion);
     leader.cluster().machineTypes(types.machineTypes());
@@ -327,15 +291,7 @@
     if (active == null) {
       return Optional.empty();
     }
-    Map<String, JobProgress> jobs = new LinkedHashMap<>();
-    for (Job job : active.cluster().jobs()) {
-      JobProgress progress =
-          new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
-      if (progress.running() + progress.done() > 0) {
-        jobs.put(job.spec().id(), progress);
-      }
-    }
-    return Optional.of(new TermProgress(active.cluster().term(), jobs));
+    return Optional.of(active.progress());
   }
 
   private ControllerStatus status() {
--- a/src/main/java/org/saffronshore/control/EventLoopDelayProbe.java
+++ b/src/main/java/org/saffronshore/control/EventLoopDelayProbe.java
@@ -21,7 +21,7 @@
     loop.schedule(
         intervalS,
         () -> {
-          metrics.recordLatency(Metrics.Latency.LOOP, loop.now() - dueAt);
+          metrics.recordLatency(Metrics.Latency.EVENT_LOOP_DELAY, loop.now() - dueAt);
           start();
         });
   }
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -1,6 +1,8 @@
 package org.saffronshore.control;
 
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import org.jspecify.annotations.NullMarked;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.autoscaling.Autoscaler;
@@ -10,6 +12,7 @@
 import org.saffronshore.failover.Failover;
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.peer.JobProgress;
+import org.saffronshore.peer.TermProgress;
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.Heartbeat;
 
@@ -129,12 +132,26 @@
     failover.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
   }
 
-  /** How far an open job is. */
+  /** Counts of done and running tasks of all open jobs that have any. */
+  TermProgress progress() {
+    Map<String, JobProgress> jobs = new LinkedHashMap<>();
+    for (Job job : cluster.jobs()) {
+      JobProgress progress = progress(job);
+      if (progress.running() + progress.done() > 0) {
+        jobs.put(job.spec().id(), progress);
+      }
+    }
+    return new TermProgress(term.number(), jobs);
+  }
+
+  /** Counts of done and running tasks of a job; none of one that is not open. */
   JobProgress progress(String id) {
     Job job = cluster.job(id);
-    return job == null
-        ? JobProgress.NONE
-        : new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
+    return job == null ? JobProgress.NONE : progress(job);
+  }
+
+  private static JobProgress progress(Job job) {
+    return new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
   }
 
   /** Does everything that may have become due by a change of the cluster. */
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -82,7 +82,7 @@
   private boolean isAloneWithoutStateService() {
     double now = loop.now();
     aloneWithoutStateServiceSince =
-        peers.anyPeerServedSince(state.lastResponseAt())
+        peers.stateServiceServedAnyPeerSince(state.lastResponseAt())
             ? Math.min(aloneWithoutStateServiceSince, now)
             : Double.POSITIVE_INFINITY;
     return !term.holdsStoreLease() && now > aloneWithoutStateServiceSince + heartbeatIntervalS / 4;
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -148,7 +148,7 @@
           attempt.map(Attempt::number).orElse(0L),
           cluster.term(),
           cluster.unreconciledCount(),
-          placement.counted());
+          placement.usageBefore());
     }
   }
 
@@ -169,14 +169,14 @@
           cluster.term(),
           cluster.unreconciledCount(),
           limited.onlyByUnreconciled(),
-          limited.counted());
+          limited.usage());
     }
   }
 
   private void recordMetrics(SchedulingPlan plan, double startedAt) {
-    metrics.increment(Metrics.Counter.CYCLES, 1);
-    metrics.increment(Metrics.Counter.PLACED, plan.placements().size());
-    metrics.increment(Metrics.Counter.STOPPED, plan.preemptions().size());
+    metrics.increment(Metrics.Counter.SCHEDULING_CYCLES, 1);
+    metrics.increment(Metrics.Counter.TASKS_PLACED, plan.placements().size());
+    metrics.increment(Metrics.Counter.TASKS_STOPPED, plan.preemptions().size());
     lastCycleS = loop.now() - startedAt;
     metrics.recordLatency(Metrics.Latency.CYCLE, lastCycleS);
   }
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -89,7 +89,9 @@
    *     began
    */
   public void jobArrived(JobSpec job, boolean arrivedNow, double now) {
-    classes.computeIfAbsent(job.jobClass(), c -> new JobClass(job, now)).add(job, arrivedNow, now);
+    classes
+        .computeIfAbsent(job.jobClass(), name -> new JobClass(job, now))
+        .add(job, arrivedNow, now);
   }
 
   /**
--- a/src/main/java/org/saffronshore/http/ConnectionPool.java
+++ b/src/main/java/org/saffronshore/http/ConnectionPool.java
@@ -60,7 +60,7 @@
   void release(Address peer, Channel channel) {
     IdleConnection connection = new IdleConnection(peer, channel);
     connection.expiry = loop.schedule(maxIdleS, () -> close(connection));
-    byPeer.computeIfAbsent(peer, p -> new ArrayDeque<>(2)).addLast(connection);
+    byPeer.computeIfAbsent(peer, key -> new ArrayDeque<>(2)).addLast(connection);
     oldestFirst.add(connection);
   }
 
--- a/src/main/java/org/saffronshore/leadership/LastTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LastTerm.java
@@ -22,7 +22,7 @@
     }
     LeaderRecord leader = LeaderRecord.parse(key.value());
     return new LastTerm(
-        Math.max(0, leader.term()), leader.node(), leader.incarnation(), key.version());
+        Math.max(0, leader.term()), leader.controller(), leader.incarnation(), key.version());
   }
 
   long next() {
--- a/src/main/java/org/saffronshore/leadership/LeaderWatch.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderWatch.java
@@ -95,7 +95,7 @@
 
   private void onLeaderFound(GetResult key) {
     LeaderRecord leader = LeaderRecord.parse(key.value());
-    leaderNode = leader.node();
+    leaderNode = leader.controller();
     leaderTerm = leader.term();
     if (self.node().equals(leaderNode) && !self.incarnation().equals(leader.incarnation())) {
       // That process has ended, so nobody has to wait until its lease expires.
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -83,7 +83,9 @@
 
   /** Of two candidates the lesser name has precedence, as long as it keeps requesting. */
   private boolean hasPrecedence(VoteRequest other, long term) {
-    if (other.node() == null || other.node().compareTo(self.node()) >= 0 || other.term() != term) {
+    if (other.candidate() == null
+        || other.candidate().compareTo(self.node()) >= 0
+        || other.term() != term) {
       return false;
     }
     unchangedReads = other.equals(lastOtherRequest) ? unchangedReads + 1 : 1;
@@ -92,9 +94,10 @@
   }
 
   private void vote(VoteRequest other, long requestVersion, Runnable onWritten) {
-    if (other.node() == null
+    if (other.candidate() == null
         || other.incarnation() == null
-        || !granter.grant(new ControllerProcess(other.node(), other.incarnation()), other.term())) {
+        || !granter.grant(
+            new ControllerProcess(other.candidate(), other.incarnation()), other.term())) {
       onWritten.run();
       return;
     }
--- a/src/main/java/org/saffronshore/peer/PeerReachability.java
+++ b/src/main/java/org/saffronshore/peer/PeerReachability.java
@@ -81,7 +81,7 @@
    * Whether the state service has responded to some peer since that moment, and for some time after
    * it.
    */
-  public boolean anyPeerServedSince(double moment) {
+  public boolean stateServiceServedAnyPeerSince(double moment) {
     return stateServiceAvailableAtByPeer.values().stream()
         .anyMatch(availableAt -> availableAt > moment + MIN_LEAD_INTERVALS * intervalS);
   }
--- a/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
@@ -23,9 +23,9 @@
    *
    * @param machine the machine's id
    * @param overdue whether it was placed before all others since its job had waited for very long
-   * @param counted what counted against its team's limit before it was placed
+   * @param usageBefore what counted against its team's limit before it was placed
    */
-  public record Placement(TaskId task, String machine, boolean overdue, QuotaUsage counted) {}
+  public record Placement(TaskId task, String machine, boolean overdue, QuotaUsage usageBefore) {}
 
   /**
    * A task that is to be stopped.
@@ -46,8 +46,8 @@
    *
    * @param tasks how many tasks
    * @param onlyByUnreconciled whether only by what may be on unreconciled machines
-   * @param counted what counted against the limit then
+   * @param usage what counted against the limit then
    */
   public record QuotaLimitedTasks(
-      JobSpec job, int tasks, boolean onlyByUnreconciled, QuotaUsage counted) {}
+      JobSpec job, int tasks, boolean onlyByUnreconciled, QuotaUsage usage) {}
 }
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -8,12 +8,12 @@
 /**
  * Who leads, or led last: the value of {@link Keys#LEADER} and of {@link Keys#TERM}.
  *
- * @param node the controller's name; null when it is not known
+ * @param controller the controller's name; null when it is not known
  * @param incarnation distinguishes the process from earlier ones of the same controller; null when
  *     it is not known
  * @param term the number of the term; -1 when it is not known
  */
-public record LeaderRecord(@Nullable String node, @Nullable String incarnation, long term) {
+public record LeaderRecord(@Nullable String controller, @Nullable String incarnation, long term) {
   private static final String NODE_FIELD = "Node";
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
@@ -29,7 +29,7 @@
   /** The stored form. */
   public ObjectNode toJson() {
     return Json.object()
-        .put(NODE_FIELD, node)
+        .put(NODE_FIELD, controller)
         .put(INCARNATION_FIELD, incarnation)
         .put(TERM_FIELD, term);
   }
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -8,14 +8,14 @@
 /**
  * A candidate's request for votes: the value of {@link Keys#VOTE_REQUEST}.
  *
- * @param node the candidate's name; null when it is not known
+ * @param candidate the candidate's name; null when it is not known
  * @param incarnation distinguishes the process from earlier ones of the same controller; null when
  *     it is not known
  * @param term the term that the candidate wants to lead; -1 when it is not known
  * @param number distinguishes the requests of one process
  */
 public record VoteRequest(
-    @Nullable String node, @Nullable String incarnation, long term, long number) {
+    @Nullable String candidate, @Nullable String incarnation, long term, long number) {
   private static final String NODE_FIELD = "Node";
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
@@ -33,7 +33,7 @@
   /** The stored form. */
   public ObjectNode toJson() {
     return Json.object()
-        .put(NODE_FIELD, node)
+        .put(NODE_FIELD, candidate)
         .put(INCARNATION_FIELD, incarnation)
         .put(TERM_FIELD, term)
         .put(NUMBER_FIELD, number);
@@ -41,6 +41,6 @@
 
   /** A vote for this request. */
   public Vote toVote() {
-    return new Vote(term, node, incarnation, number);
+    return new Vote(term, candidate, incarnation, number);
   }
 }
--- a/src/main/java/org/saffronshore/wire/Command.java
+++ b/src/main/java/org/saffronshore/wire/Command.java
@@ -4,10 +4,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** An order to a worker about one attempt at one task. */
+/**
+ * A command to a worker about one attempt at one task.
+ *
+ * @param gracePeriodS seconds that a task has to save a checkpoint before it is killed; only of a
+ *     stop
+ */
 public record Command(Action action, TaskId task, long attempt, double gracePeriodS) {
 
-  /** What a worker is to do. */
+  /**
+   * What the worker is to do: start the task, stop it, or remove its exited attempt from
+   * heartbeats.
+   */
   public enum Action {
     LAUNCH,
     STOP,
@@ -18,8 +26,8 @@
     return new Command(Action.LAUNCH, task, attempt, 0);
   }
 
-  public static Command stop(TaskId task, long attempt, double graceS) {
-    return new Command(Action.STOP, task, attempt, graceS);
+  public static Command stop(TaskId task, long attempt, double gracePeriodS) {
+    return new Command(Action.STOP, task, attempt, gracePeriodS);
   }
 
   public static Command reap(TaskId task, long attempt) {
@@ -27,21 +35,23 @@
   }
 
   /** Adds commands to a message to a worker. */
-  public static void write(ObjectNode message, List<Command> commands) {
-    ArrayNode calls = message.putArray("Calls");
-    for (Command c : commands) {
-      ObjectNode o = calls.addObject();
-      o.put(
-          "Call",
-          switch (c.action) {
-            case LAUNCH -> "launch";
-            case STOP -> "kill";
-            case REAP -> "reap";
-          });
-      o.put("Leg", c.task.toString()).put("Lap", c.attempt);
-      if (c.action == Action.STOP) {
-        o.put("CooldownS", c.gracePeriodS);
-      }
+  static void write(ObjectNode message, List<Command> commands) {
+    ArrayNode array = message.putArray("Calls");
+    commands.forEach(command -> command.write(array.addObject()));
+  }
+
+  private void write(ObjectNode tree) {
+    tree.put("Call", wireName(action)).put("Leg", task.toString()).put("Lap", attempt);
+    if (action == Action.STOP) {
+      tree.put("CooldownS", gracePeriodS);
     }
   }
+
+  private static String wireName(Action action) {
+    return switch (action) {
+      case LAUNCH -> "launch";
+      case STOP -> "kill";
+      case REAP -> "reap";
+    };
+  }
 }
--- a/src/main/java/org/saffronshore/wire/FieldReader.java
+++ b/src/main/java/org/saffronshore/wire/FieldReader.java
@@ -3,43 +3,49 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 
-/** Checked access to the fields of an object; every failure names the field by its path. */
+/**
+ * Checked access to the fields of an object. Every method throws {@link InvalidFieldException},
+ * which names the field by its path, when the field is missing or not valid.
+ */
 public record FieldReader(JsonNode node, String path) {
 
   /** The fields of a value that has to be an object. */
-  public static FieldReader of(JsonNode node, String path) throws InvalidFieldException {
+  public static FieldReader of(@Nullable JsonNode node, String path) throws InvalidFieldException {
     if (node == null || !node.isObject()) {
       throw new InvalidFieldException(path.isEmpty() ? "body" : path, "must be an object");
     }
     return new FieldReader(node, path);
   }
 
-  private String at(String field) {
+  private String pathOf(String field) {
     return path.isEmpty() ? field : path + "." + field;
   }
 
-  private static boolean absent(JsonNode value) {
+  private static boolean isAbsent(@Nullable JsonNode value) {
     return value == null || value.isNull();
   }
 
+  /** Whether the field is there and not null. */
   public boolean has(String field) {
-    return !absent(node.get(field));
+    return !isAbsent(node.get(field));
   }
 
+  /** An object that has to be there. */
   public FieldReader object(String field) throws InvalidFieldException {
-    return of(node.get(field), at(field));
+    return of(node.get(field), pathOf(field));
   }
 
   /** A list of objects that has to be there. */
   public List<FieldReader> objects(String field) throws InvalidFieldException {
     List<FieldReader> all = new ArrayList<>();
     JsonNode values = node.get(field);
-    if (absent(values) || !values.isArray()) {
-      throw new InvalidFieldException(at(field), "must be a list");
+    if (isAbsent(values) || !values.isArray()) {
+      throw new InvalidFieldException(pathOf(field), "must be a list");
     }
     for (int i = 0; i < values.size(); i++) {
-      all.add(of(values.get(i), at(field) + "[" + i + "]"));
+      all.add(of(values.get(i), pathOf(field) + "[" + i + "]"));
     }
     return all;
   }
@@ -47,29 +53,30 @@
   /** A text that has to be there and not empty. */
   public String text(String field) throws InvalidFieldException {
     JsonNode value = node.get(field);
-    if (absent(value) || !value.isTextual() || value.textValue().isEmpty()) {
-      throw new InvalidFieldException(at(field), "must be a non-empty text");
+    if (isAbsent(value) || !value.isTextual() || value.textValue().isEmpty()) {
+      throw new InvalidFieldException(pathOf(field), "must be a non-empty text");
     }
     return value.textValue();
   }
 
-  public String textOrNull(String field) throws InvalidFieldException {
+  /** A text that is not empty, or null when it is absent or null. */
+  public @Nullable String textOrNull(String field) throws InvalidFieldException {
     return has(field) ? text(field) : null;
   }
 
   /** A list of texts, or null when it is absent or null. */
-  public List<String> textsOrNull(String field) throws InvalidFieldException {
+  public @Nullable List<String> textsOrNull(String field) throws InvalidFieldException {
     if (!has(field)) {
       return null;
     }
     JsonNode values = node.get(field);
     if (!values.isArray()) {
-      throw new InvalidFieldException(at(field), "must be a list of texts or null");
+      throw new InvalidFieldException(pathOf(field), "must be a list of texts or null");
     }
     List<String> all = new ArrayList<>();
     for (JsonNode value : values) {
       if (!value.isTextual()) {
-        throw new InvalidFieldException(at(field), "must be a list of texts or null");
+        throw new InvalidFieldException(pathOf(field), "must be a list of texts or null");
       }
       all.add(value.textValue());
     }
@@ -77,28 +84,28 @@
   }
 
   /** A number that has to be there and in a range. */
-  public double number(String field, double least, double most) throws InvalidFieldException {
+  public double number(String field, double min, double max) throws InvalidFieldException {
     JsonNode value = node.get(field);
-    if (absent(value) || !value.isNumber()) {
-      throw new InvalidFieldException(at(field), "must be a number");
+    if (isAbsent(value) || !value.isNumber()) {
+      throw new InvalidFieldException(pathOf(field), "must be a number");
     }
     double number = value.doubleValue();
-    if (!Double.isFinite(number) || number < least || number > most) {
-      throw new InvalidFieldException(at(field), "must be from " + least + " to " + most);
+    if (!Double.isFinite(number) || number < min || number > max) {
+      throw new InvalidFieldException(pathOf(field), "must be from " + min + " to " + max);
     }
     return number;
   }
 
-  public double number(String field, double least, double most, double otherwise)
+  public double number(String field, double min, double max, double defaultValue)
       throws InvalidFieldException {
-    return has(field) ? number(field, least, most) : otherwise;
+    return has(field) ? number(field, min, max) : defaultValue;
   }
 
   /** A whole number that has to be there and in a range. */
-  public long count(String field, long least, long most) throws InvalidFieldException {
-    double number = number(field, (double) least, (double) most);
+  public long count(String field, long min, long max) throws InvalidFieldException {
+    double number = number(field, (double) min, (double) max);
     if (number != Math.rint(number)) {
-      throw new InvalidFieldException(at(field), "must be a whole number");
+      throw new InvalidFieldException(pathOf(field), "must be a whole number");
     }
     return node.get(field).longValue();
   }
@@ -106,8 +113,8 @@
   /** A boolean that has to be there. */
   public boolean flag(String field) throws InvalidFieldException {
     JsonNode value = node.get(field);
-    if (absent(value) || !value.isBoolean()) {
-      throw new InvalidFieldException(at(field), "must be true or false");
+    if (isAbsent(value) || !value.isBoolean()) {
+      throw new InvalidFieldException(pathOf(field), "must be true or false");
     }
     return value.booleanValue();
   }
--- a/src/test/java/org/saffronshore/TestData.java
+++ b/src/test/java/org/saffronshore/TestData.java
@@ -54,13 +54,13 @@
   public static final Map<String, MachineType> TYPES =
       Map.of("big", new MachineType("big", 32, 0, 256, 50, 1, 2, 1, 40, List.of("a", "b")));
 
-  public static Heartbeat report(
+  public static Heartbeat heartbeat(
       String machine, long session, long seq, long token, Heartbeat.TaskStatus... tasks) {
     return new Heartbeat(
         machine, "10.1.0.1:9000", "big", "a", true, session, seq, token, null, List.of(tasks));
   }
 
-  public static Heartbeat.TaskStatus task(
+  public static Heartbeat.TaskStatus taskStatus(
       String job, int index, long attempt, Heartbeat.TaskState state, Heartbeat.ExitReason why) {
     return new Heartbeat.TaskStatus(new TaskId(job, index), attempt, state, why);
   }
--- a/src/test/java/org/saffronshore/admin/AdminApiTest.java
+++ b/src/test/java/org/saffronshore/admin/AdminApiTest.java
@@ -8,6 +8,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,7 +28,7 @@
           new StateClient(loop, new FakeStateService(loop), TestData.settings()),
           metrics,
           Set.of("red"),
-          () -> Json.object().put("term", 3));
+          () -> new ControllerStatus("n-0", true, "n-0", 3, true, Optional.empty()));
 
   private record Said(int status, String body) {
     JsonNode json() {
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void changesByVersion() {
+  void settingsAreChangedOnlyWithTheirCurrentVersion() {
     assertEquals(0, ask("GET", "/admin/settings", "").json().get("version").asLong());
     String change = "{\"version\":0,\"settings\":{\"period_s\":2,\"team_weights\":{\"red\":3}}}";
     long version = ask("PUT", "/admin/settings", change).json().get("version").asLong();
@@ -70,15 +71,15 @@
         "{\"team_weights\":{\"blue\":1}} | team_weights.blue",
         "{\"team_weights\":{\"red\":0}} | red"
       })
-  void namesTheWrongField(String settings, String field) {
+  void invalidSettingIsRefusedByItsName(String settings, String field) {
     Said said = ask("PUT", "/admin/settings", "{\"version\":0,\"settings\":" + settings + "}");
     assertEquals(400, said.status());
     assertTrue(said.json().get("field").asText().endsWith(field), said.body());
   }
 
   @Test
-  void tellsMetricsAndStatus() {
-    metrics.increment(Metrics.Counter.PLACED, 7);
+  void metricsAndStatusAreServed() {
+    metrics.increment(Metrics.Counter.TASKS_PLACED, 7);
     metrics.recordLatency(Metrics.Latency.CYCLE, 0.25);
     String text = ask("GET", "/metrics", "").body();
     assertTrue(text.contains("saffronshore_tasks_placed_total 7.0"), text);
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.List;
@@ -34,12 +34,13 @@
     cluster.batchCompleted(
         batch,
         DeliveryOutcome.EXECUTED,
-        report(
+        heartbeat(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            taskStatus(
+                "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
     assertFalse(placeable());
@@ -47,12 +48,13 @@
     cluster.expireLeases();
     assertTrue(placeable());
     cluster.heartbeatReceived(
-        report(
+        heartbeat(
             "host-1",
             1,
             70,
             TERM,
-            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            taskStatus(
+                "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
   }
 
@@ -65,12 +67,13 @@
     cluster.batchCompleted(
         batch,
         DeliveryOutcome.EXECUTED,
-        report(
+        heartbeat(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
+            taskStatus(
+                "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(2);
     cluster.expireLeases();
     assertTrue(placeable());
@@ -85,10 +88,14 @@
     cluster.batchCompleted(
         batch,
         DeliveryOutcome.EXECUTED,
-        report(
-            "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
-    cluster.heartbeatReceived(report("host-1", 1, 49, TERM));
-    cluster.heartbeatReceived(report("host-1", 0, 99, TERM));
+        heartbeat(
+            "host-1",
+            1,
+            50,
+            TERM,
+            taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 49, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 0, 99, TERM));
     assertFalse(placeable());
   }
 
@@ -105,7 +112,7 @@
     assertEquals(removed, placeable());
     if (removed) {
       assertNull(
-          cluster.heartbeatReceived(report("host-1", 1, 99, TERM)),
+          cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)),
           "its late heartbeats are not taken");
     }
   }
@@ -138,12 +145,12 @@
     cluster.batchCompleted(
         batch,
         DeliveryOutcome.EXECUTED,
-        report(
+        heartbeat(
             "host-1",
             1,
             50,
             TERM,
-            task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, reason)));
+            taskStatus("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, reason)));
     assertEquals(reason == ExitReason.COMPLETED, openJob("wk-1").isComplete());
     assertEquals(reason != ExitReason.COMPLETED, placeable());
     assertEquals(
@@ -165,19 +172,19 @@
     Machine bad = up("host-1");
     for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-1",
               1,
               100 + 2 * i,
               TERM,
-              task("wk-" + i, 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+              taskStatus("wk-" + i, 0, 7, TaskState.RUNNING, ExitReason.NONE)));
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-1",
               1,
               101 + 2 * i,
               TERM,
-              task("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
+              taskStatus("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertTrue(bad.isQuarantined());
     assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
@@ -185,19 +192,19 @@
     for (int i = 2; i < 5; i++) {
       up("host-" + i);
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-" + i,
               1,
               200,
               TERM,
-              task("wk-1", 0, 7 + i, TaskState.RUNNING, ExitReason.NONE)));
+              taskStatus("wk-1", 0, 7 + i, TaskState.RUNNING, ExitReason.NONE)));
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-" + i,
               1,
               201,
               TERM,
-              task("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
+              taskStatus("wk-1", 0, 7 + i, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertEquals(
         List.of("wk-0"),
--- a/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
+++ b/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
@@ -1,6 +1,6 @@
 package org.saffronshore.cluster;
 
-import static org.saffronshore.TestData.report;
+import static org.saffronshore.TestData.heartbeat;
 
 import java.util.BitSet;
 import java.util.List;
@@ -44,7 +44,7 @@
 
   Machine up(String id) {
     Machine machine =
-        Objects.requireNonNull(cluster.heartbeatReceived(report(id, 1, ++sequence, TERM)));
+        Objects.requireNonNull(cluster.heartbeatReceived(heartbeat(id, 1, ++sequence, TERM)));
     cluster.registry().markRegistered(List.of(machine));
     return machine;
   }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.List;
@@ -36,14 +36,18 @@
         new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     Machine machine = machine("host-1");
     cluster.batchCompleted(
-        nextBatch(machine), DeliveryOutcome.EXECUTED, report("host-1", 1, ++sequence, TERM));
+        nextBatch(machine), DeliveryOutcome.EXECUTED, heartbeat("host-1", 1, ++sequence, TERM));
     cluster.registry().markRegistered(List.of(machine));
     job(KEY + 1);
     loop.pass(TestData.LEASE_S * 0.7);
     cluster.directStatusReceived(
         machine,
-        report(
-            "host-1", 2, ++sequence, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1",
+            2,
+            ++sequence,
+            TERM,
+            taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(placeable());
     loop.pass(TestData.LEASE_S * leasesLater);
     cluster.expireLeases();
@@ -59,10 +63,10 @@
     Machine machine = up("host-1");
     for (int i = 0; i < 6; i++) {
       loop.pass(TestData.settings().heartbeatIntervalS() / 2);
-      cluster.directStatusReceived(machine, report("host-1", 1, ++sequence, TERM));
+      cluster.directStatusReceived(machine, heartbeat("host-1", 1, ++sequence, TERM));
     }
     assertTrue(cluster.view().schedulableMachines().isEmpty());
-    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
     assertEquals(1, cluster.view().schedulableMachines().size());
   }
 
@@ -103,16 +107,20 @@
     up("host-2");
     boundToZones(oneZone, false, 1);
     cluster.heartbeatReceived(
-        report(
+        heartbeat(
             "host-1",
             1,
             ++sequence,
             TERM - 1,
-            task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+            taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertEquals(placeable, placeable(), "its other tasks were never launched");
     cluster.heartbeatReceived(
-        report(
-            "host-1", 1, ++sequence, TERM, task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1",
+            1,
+            ++sequence,
+            TERM,
+            taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(placeable(), "the task is there, and so nowhere else");
   }
 
@@ -141,19 +149,19 @@
     for (int i = 0; i < 20; i++) {
       up("host-" + i);
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-" + i,
               1,
               ++sequence,
               TERM,
-              task("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
+              taskStatus("wk-1", i, 7, TaskState.RUNNING, ExitReason.NONE)));
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-" + i,
               1,
               ++sequence,
               TERM,
-              task("wk-1", i, 7, TaskState.EXITED, ExitReason.FAILED)));
+              taskStatus("wk-1", i, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
     assertFalse(placeable());
     loop.pass(TestData.LEASE_S + 0.1);
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.List;
@@ -40,10 +40,10 @@
   void machineIsReconciledOnceItShowsTheFencingToken() {
     cluster.addRegistered("host-1", 0, null);
     job(1);
-    cluster.heartbeatReceived(report("host-1", 1, 1, TERM - 1));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 1, TERM - 1));
     assertFalse(placeable(), "a launch of the last leader may still arrive there");
     assertNotNull(cluster.nextBatch(machine("host-1")), "it is sent the token at once");
-    cluster.heartbeatReceived(report("host-1", 1, 2, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 2, TERM));
     assertTrue(placeable());
   }
 
@@ -64,11 +64,12 @@
     assertEquals(1, guess.epoch());
     assertTrue(guess.commands().isEmpty());
     cluster.batchCompleted(
-        guess, DeliveryOutcome.NOT_EXECUTED, report("host-1", 3, ++sequence, TERM - 1));
+        guess, DeliveryOutcome.NOT_EXECUTED, heartbeat("host-1", 3, ++sequence, TERM - 1));
     assertFalse(placeable(), "a launch of the last leader may still arrive there");
     CommandBatch right = nextBatch(machine);
     assertEquals(3, right.epoch());
-    cluster.batchCompleted(right, DeliveryOutcome.EXECUTED, report("host-1", 3, ++sequence, TERM));
+    cluster.batchCompleted(
+        right, DeliveryOutcome.EXECUTED, heartbeat("host-1", 3, ++sequence, TERM));
     assertTrue(placeable());
     assertNull(cluster.nextBatch(machine));
     loop.pass(TestData.LEASE_S + 1);
@@ -144,7 +145,7 @@
     loop.pass(5);
     cluster.registry().cordonSilent();
     assertEquals(List.of(machine), cluster.registry().takeCordonedMachines());
-    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
     assertFalse(machine.isSchedulable(loop.now()));
     assertTrue(cluster.registry().hasPendingWrites());
     assertEquals(List.of(machine), cluster.registry().unregisteredMachines());
@@ -184,7 +185,8 @@
     cluster.addRegistered("host-1", 0, null);
     job(1);
     cluster.heartbeatReceived(
-        report("host-1", 1, 1, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1", 1, 1, TERM, taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(placeable());
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
@@ -193,7 +195,8 @@
   void taskOfNoOpenJobIsStopped() {
     Machine machine = up("host-1");
     cluster.heartbeatReceived(
-        report("host-1", 1, 9, TERM, task("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1", 1, 9, TERM, taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     assertEquals(List.of(Command.Action.STOP), ops(nextBatch(machine).commands()));
   }
 
@@ -226,7 +229,8 @@
       cluster.addRegistered("host-2", 0, null);
     } else if (what.equals("shown")) {
       cluster.heartbeatReceived(
-          report("host-2", 1, 9, TERM, task("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+          heartbeat(
+              "host-2", 1, 9, TERM, taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     } else if (!what.equals("nowhere")) {
       cluster.addRegistered(
           "host-2", 0, Set.of(new TaskId(what.equals("possible") ? "wk-7" : "wk-8", 0)));
@@ -273,14 +277,14 @@
     cluster.removeJob("wk-2");
     if (reconciled.equals("host-1")) {
       cluster.heartbeatReceived(
-          report(
+          heartbeat(
               "host-1",
               1,
               ++sequence,
               TERM,
-              task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+              taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     } else if (reconciled.equals("host-2")) {
-      cluster.heartbeatReceived(report("host-2", 1, ++sequence, TERM));
+      cluster.heartbeatReceived(heartbeat("host-2", 1, ++sequence, TERM));
     }
     assertEquals(placed, plan(teams()).placements().size());
   }
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.List;
 import java.util.Set;
@@ -26,24 +26,25 @@
   @ParameterizedTest
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
   void lateCopyOfHeartbeatDoesNotChangeRunningTask(long epoch, long sequenceNumber, String shows) {
-    cluster.heartbeatReceived(report("host-1", 2, 1, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 2, 1, TERM));
     Machine machine = machine("host-1");
     cluster.registry().markRegistered(List.of(machine));
     job(101);
     long attempt = launch(machine).launches().get(0).number();
-    Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
+    Heartbeat.TaskStatus running =
+        taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 2, 9, TERM, 60.0, List.of(running)));
     Heartbeat copy =
         shows.equals("none")
-            ? report("host-1", epoch, sequenceNumber, TERM)
-            : report(
+            ? heartbeat("host-1", epoch, sequenceNumber, TERM)
+            : heartbeat(
                 "host-1",
                 epoch,
                 sequenceNumber,
                 TERM,
-                task("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
+                taskStatus("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
     assertEquals(1, openJob("wk-1").runningTaskCount());
     assertFalse(placeable());
@@ -58,7 +59,12 @@
     job(101);
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat last =
-        report("host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE));
+        heartbeat(
+            "host-1",
+            1,
+            50,
+            TERM,
+            taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE));
     cluster.heartbeatReceived(last);
     for (int i = 0; i < (int) TestData.LEASE_S; i++) {
       loop.pass(1);
@@ -87,10 +93,11 @@
     CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     Heartbeat.TaskStatus running =
-        task("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
-    cluster.batchCompleted(batch, DeliveryOutcome.EXECUTED, report("host-1", 1, 60, TERM, running));
+        taskStatus("wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE);
+    cluster.batchCompleted(
+        batch, DeliveryOutcome.EXECUTED, heartbeat("host-1", 1, 60, TERM, running));
     loop.pass(2);
-    cluster.heartbeatReceived(report("host-1", 1, 59, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 59, TERM));
     cluster.expireLeases();
     assertFalse(placeable());
     loop.pass(TestData.LEASE_S + 1);
@@ -102,7 +109,7 @@
   void copyOfHeartbeatDoesNotBringRemovedMachineBack() {
     Machine machine = up("host-1");
     cluster.machineRemoved(machine, "returned");
-    assertNull(cluster.heartbeatReceived(report("host-1", 1, 99, TERM)));
+    assertNull(cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)));
     assertNull(cluster.machine("host-1"));
   }
 
@@ -111,7 +118,7 @@
    */
   @Test
   void machineKnownByOldHeartbeatOnlyIsNoCapacity() {
-    cluster.heartbeatReceived(report("host-1", 1, 99, TERM - 2));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM - 2));
     assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
     assertEquals(
@@ -128,13 +135,13 @@
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     job(1);
-    Heartbeat.TaskStatus old = task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
-    Heartbeat.TaskStatus now = task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
-    cluster.heartbeatReceived(report("host-1", 1, 5, TERM - 1, old));
-    cluster.heartbeatReceived(report("host-2", 1, 1, TERM, now));
+    Heartbeat.TaskStatus old = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
+    Heartbeat.TaskStatus now = taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, old));
+    cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, now));
     Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().stopping());
-    cluster.heartbeatReceived(report("host-1", 1, 90, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 90, TERM));
     assertFalse(placeable(), "it runs on host-2");
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
@@ -146,9 +153,11 @@
     cluster.addRegistered("host-2", 60, null);
     job(1);
     cluster.heartbeatReceived(
-        report("host-1", 1, 5, TERM, task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1", 1, 5, TERM, taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(
-        report("host-2", 1, 5, TERM, task("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-2", 1, 5, TERM, taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE)));
     Machine first = machine("host-1");
     Machine second = machine("host-2");
     assertEquals(
@@ -156,9 +165,9 @@
         List.of(first, second).stream()
             .filter(machine -> machine.attempts().iterator().next().stopping())
             .count());
-    cluster.heartbeatReceived(report("host-1", 1, 6, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 6, TERM));
     assertFalse(placeable());
-    cluster.heartbeatReceived(report("host-2", 1, 6, TERM));
+    cluster.heartbeatReceived(heartbeat("host-2", 1, 6, TERM));
     assertTrue(placeable());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.List;
@@ -33,24 +33,24 @@
     Heartbeat status =
         switch (outcome) {
           case EXECUTED ->
-              report(
+              heartbeat(
                   "host-1",
                   1,
                   50,
                   TERM,
-                  task(
+                  taskStatus(
                       "wk-1",
                       0,
                       batch.launches().get(0).number(),
                       TaskState.PULLING_IMAGE,
                       ExitReason.NONE));
-          case NOT_EXECUTED -> report("host-1", 1, 50, TERM);
+          case NOT_EXECUTED -> heartbeat("host-1", 1, 50, TERM);
           case UNKNOWN -> null;
         };
     cluster.batchCompleted(batch, outcome, status);
     assertEquals(placeable, placeable());
     cluster.heartbeatReceived(
-        report(
+        heartbeat(
             "host-1",
             1,
             51,
@@ -69,7 +69,7 @@
     job(101);
     Machine machine = up("host-1");
     cluster.batchCompleted(launch(machine), DeliveryOutcome.UNKNOWN, null);
-    cluster.heartbeatReceived(report("host-1", 2, 60, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 2, 60, TERM));
     assertTrue(placeable());
   }
 
@@ -97,8 +97,9 @@
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     Heartbeat.TaskStatus ended =
-        task("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
-    cluster.heartbeatReceived(report("host-1", 1, 50, TERM, ended));
+        taskStatus(
+            "wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, ended));
     assertTrue(placeable(), "it is over there");
     assertFalse(ops(cluster.responseCommands(machine)).contains(Command.Action.REAP));
     assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.List;
@@ -36,8 +36,9 @@
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
     Machine machine = up("host-1");
     long attempt = launch(machine).launches().get(0).number();
-    Heartbeat.TaskStatus running = task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
-    cluster.heartbeatReceived(report("host-1", 1, 50, TERM, running));
+    Heartbeat.TaskStatus running =
+        taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, running));
     loop.pass(ranS);
     cluster.heartbeatReceived(
         new Heartbeat(
@@ -58,13 +59,21 @@
     Machine machine = up("host-1");
     long attempt = launch(machine).launches().get(0).number();
     cluster.heartbeatReceived(
-        report(
-            "host-1", 1, 50, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1",
+            1,
+            50,
+            TERM,
+            taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
     assertFalse(cluster.view().isMovable(machine, 10));
     loop.pass(11);
     cluster.heartbeatReceived(
-        report(
-            "host-1", 1, 51, TERM, task("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
+        heartbeat(
+            "host-1",
+            1,
+            51,
+            TERM,
+            taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
     assertTrue(cluster.view().isMovable(machine, 10));
     cluster.drain(machine);
     assertTrue(machine.isDraining() && !machine.isSchedulable(loop.now()));
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -1,8 +1,8 @@
 package org.saffronshore.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.BitSet;
 import java.util.HashSet;
@@ -47,41 +47,41 @@
       case "wk-1 completes" -> {
         for (int i = 0; i < 2; i++) {
           cluster.heartbeatReceived(
-              report(
+              heartbeat(
                   "host-3",
                   1,
                   ++sequence,
                   TERM,
-                  task("wk-1", i, 7, TaskState.EXITED, ExitReason.COMPLETED)));
+                  taskStatus("wk-1", i, 7, TaskState.EXITED, ExitReason.COMPLETED)));
         }
         cluster.removeJob("wk-1");
       }
       case "wk-1/0 completes" ->
           cluster.heartbeatReceived(
-              report(
+              heartbeat(
                   "host-3",
                   1,
                   ++sequence,
                   TERM,
-                  task("wk-1", 0, 7, TaskState.EXITED, ExitReason.COMPLETED)));
+                  taskStatus("wk-1", 0, 7, TaskState.EXITED, ExitReason.COMPLETED)));
       case "host-1 shows wk-1/0" ->
           cluster.heartbeatReceived(
-              report(
+              heartbeat(
                   "host-1",
                   1,
                   ++sequence,
                   TERM,
-                  task("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+                  taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
       case "an old heartbeat of host-3 shows wk-1/0" ->
           cluster.heartbeatReceived(
-              report(
+              heartbeat(
                   "host-3",
                   1,
                   ++sequence,
                   TERM - 1,
-                  task("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
+                  taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
       case "host-3 holds nothing" ->
-          cluster.heartbeatReceived(report("host-3", 1, ++sequence, TERM));
+          cluster.heartbeatReceived(heartbeat("host-3", 1, ++sequence, TERM));
       default -> assertEquals("nothing", event);
     }
   }
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.saffronshore.TestData.report;
-import static org.saffronshore.TestData.task;
+import static org.saffronshore.TestData.heartbeat;
+import static org.saffronshore.TestData.taskStatus;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -43,12 +43,12 @@
       CommandBatch batch = lostLaunch(machine);
       if (what.endsWith("is seen")) {
         cluster.heartbeatReceived(
-            report(
+            heartbeat(
                 "host-1",
                 1,
                 ++sequence,
                 TERM,
-                task(
+                taskStatus(
                     "wk-1",
                     0,
                     batch.launches().get(0).number(),
@@ -61,7 +61,7 @@
     }
     for (int i = 0; i < 9; i++) {
       if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
-        cluster.heartbeatReceived(report("host-1", epoch, ++sequence, TERM));
+        cluster.heartbeatReceived(heartbeat("host-1", epoch, ++sequence, TERM));
       } else {
         machine.health().countSilenceFrom(loop.now());
       }
@@ -70,7 +70,7 @@
         cluster.batchCompleted(
             new CommandBatch(machine, 2, List.of(), List.of()),
             DeliveryOutcome.EXECUTED,
-            report("host-1", 2, ++sequence, TERM));
+            heartbeat("host-1", 2, ++sequence, TERM));
       }
       loop.pass(3);
     }
@@ -118,11 +118,11 @@
     cluster.addRegistered("host-1", 60, null);
     job(1);
     for (int i = 0; i < 8; i++) {
-      cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM - 1));
+      cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM - 1));
       cluster.unresponsiveMachines().detect();
       loop.pass(3);
     }
-    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM - 1));
+    cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM - 1));
     assertFalse(
         placeable(), "a launch of an earlier leader, which knew this epoch, may still arrive");
     assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
@@ -139,9 +139,9 @@
     Machine machine = up("host-1");
     job(101);
     lostLaunch(machine);
-    cluster.heartbeatReceived(report("host-1", 1, ++sequence, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
     assertFalse(placeable(), "the launch may yet arrive");
-    cluster.heartbeatReceived(report("host-1", 2, ++sequence, TERM));
+    cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM));
     assertTrue(placeable());
     assertFalse(machine.isSchedulable(loop.now()), "but not there");
   }
@@ -154,7 +154,7 @@
       all.add(up("host-" + i));
     }
     for (Machine machine : all) {
-      cluster.heartbeatReceived(report(machine.id(), 2, ++sequence, TERM));
+      cluster.heartbeatReceived(heartbeat(machine.id(), 2, ++sequence, TERM));
     }
     loop.pass(7);
     assertTrue(all.stream().noneMatch(cluster.unresponsiveMachines()::isUnusable));
--- a/src/test/java/org/saffronshore/wire/JobSpecTest.java
+++ b/src/test/java/org/saffronshore/wire/JobSpecTest.java
@@ -28,7 +28,7 @@
         "SamePlace | 1 | SamePlace", "CutoffS | -3 | CutoffS", "Kit | \"\" | Kit",
             "Crew | null | Crew"
       })
-  void refusesWhatIsInvalid(String field, String value, String named) {
+  void invalidFieldIsRefusedByItsName(String field, String value, String named) {
     ObjectNode body = TestData.job("wk-1", "red", Priority.URGENT, 3, 2).toJson();
     body.set(field, Json.parse(value.getBytes(UTF_8)));
     assertEquals(
@@ -37,7 +37,7 @@
 
   @ParameterizedTest
   @CsvSource({"Rigs", "Depot", "CutoffS"})
-  void takesNullAndOmittedAlike(String field) throws InvalidFieldException {
+  void nullableFieldMayBeNullOrOmitted(String field) throws InvalidFieldException {
     ObjectNode body = TestData.job("wk-1", "red", Priority.IDLE, 3, 2).toJson();
     body.remove(field);
     JobSpec omitted = JobSpec.parse(body);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void readsWhatItWrote() throws InvalidFieldException {
+  void jobIsReadAsItWasWritten() throws InvalidFieldException {
     JobSpec job = TestData.job("wk-000412", "red", Priority.CRITICAL, 100_000, 2.5);
     assertEquals(job, JobSpec.parse(Json.parse(Json.bytes(job.toJson()))));
   }
@@ -55,7 +55,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"{", "[1] x", "''", "{} {}"})
-  void knowsWhatIsNotJson(String text) {
+  void bodyThatIsNotExactlyOneJsonValueIsNull(String text) {
     assertEquals(null, Json.parse(text.getBytes(UTF_8)));
   }
 }
