--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.saffronshore.http.Reply;
 import org.saffronshore.http.Request;
+import org.saffronshore.http.Responder;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
-import org.saffronshore.wire.Fields;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.Transaction;
+import org.saffronshore.wire.FieldReader;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
@@ -37,7 +37,7 @@
   }
 
   /** Answers a request that is the API's; false when the path is not. */
-  public boolean handle(Request request, Reply reply) {
+  public boolean handle(Request request, Responder reply) {
     switch (request.path()) {
       case "/metrics" ->
           get(
@@ -51,9 +51,9 @@
                       0));
       case "/admin/status" -> get(request, reply, () -> reply.json(200, status.get()));
       case "/admin/settings" -> {
-        if (request.is("GET")) {
+        if (request.hasMethod("GET")) {
           read(reply);
-        } else if (request.is("PUT")) {
+        } else if (request.hasMethod("PUT")) {
           change(request.json(), reply);
         } else {
           reply.error(405, "GET or PUT");
@@ -66,30 +66,30 @@
     return true;
   }
 
-  private static void get(Request request, Reply reply, Runnable answer) {
-    if (request.is("GET")) {
+  private static void get(Request request, Responder reply, Runnable answer) {
+    if (request.hasMethod("GET")) {
       answer.run();
     } else {
       reply.error(405, "GET only");
     }
   }
 
-  private void read(Reply reply) {
+  private void read(Responder reply) {
     state.get(
-        Keys.OPERATOR,
+        Keys.OPERATOR_SETTINGS,
         false,
         answer -> {
-          if (answer.missing()) {
-            reply.json(200, versioned(OperatorSettings.START.toJson(), 0));
-          } else if (answer.found()) {
+          if (answer.isMissing()) {
+            reply.json(200, versioned(OperatorSettings.DEFAULTS.toJson(), 0));
+          } else if (answer.isFound()) {
             try {
               OperatorSettings stored = OperatorSettings.parse(answer.value(), teams);
               reply.json(200, versioned(stored.toJson(), answer.version()));
-            } catch (InvalidField e) {
+            } catch (InvalidFieldException e) {
               reply.error(500, "stored settings: " + e.getMessage());
             }
           } else {
-            reply.later(503, "the state service does not answer", 1);
+            reply.retryLater(503, "the state service does not answer", 1);
           }
         });
   }
@@ -100,27 +100,29 @@
     return o;
   }
 
-  private void change(JsonNode body, Reply reply) {
+  private void change(JsonNode body, Responder reply) {
     OperatorSettings settings;
     long version;
     try {
-      Fields f = Fields.of(body, "");
+      FieldReader f = FieldReader.of(body, "");
       version = f.count("version", 0, Long.MAX_VALUE);
       settings = OperatorSettings.parse(f.object("settings").node(), teams);
-    } catch (InvalidField e) {
+    } catch (InvalidFieldException e) {
       reply.json(400, Json.object().put("error", e.getMessage()).put("field", e.field()));
       return;
     }
     state.commit(
-        new Txn().guard(Keys.OPERATOR, version).set(Keys.OPERATOR, settings.toJson()),
+        new Transaction()
+            .expectVersion(Keys.OPERATOR_SETTINGS, version)
+            .put(Keys.OPERATOR_SETTINGS, settings.toJson()),
         false,
         answer -> {
-          if (answer.committed()) {
+          if (answer.isCommitted()) {
             reply.json(200, versioned(settings.toJson(), answer.revision()));
-          } else if (answer.refused()) {
+          } else if (answer.isConflict()) {
             reply.error(409, "the settings have another version by now: read them again");
           } else {
-            reply.later(503, "the state service does not answer", 1);
+            reply.retryLater(503, "the state service does not answer", 1);
           }
         });
   }
--- a/src/main/java/org/saffronshore/admin/Metrics.java
+++ b/src/main/java/org/saffronshore/admin/Metrics.java
@@ -19,7 +19,7 @@
 public final class Metrics {
 
   /** Counters, with the names that operators see. */
-  public enum Count {
+  public enum Counter {
     SUBMITTED("jobs_submitted"),
     REFUSED("requests_refused"),
     REPORTS("worker_reports"),
@@ -34,7 +34,7 @@
 
     private final String name;
 
-    Count(String name) {
+    Counter(String name) {
       this.name = name;
     }
   }
@@ -58,7 +58,7 @@
   private static final double[] QUANTILES = {0.5, 0.9, 0.99, 1.0};
   private static final long MAX_MICROS = 60_000_000L;
 
-  private final Map<Count, long[]> counts = new EnumMap<>(Count.class);
+  private final Map<Counter, long[]> counts = new EnumMap<>(Counter.class);
   private final Map<Latency, Histogram> latencies = new EnumMap<>(Latency.class);
   private final List<TaggedValue> tagged = new ArrayList<>();
 
@@ -69,7 +69,7 @@
 
   /** Starts with every counter at zero. */
   public Metrics() {
-    for (Count c : Count.values()) {
+    for (Counter c : Counter.values()) {
       counts.put(c, new long[1]);
     }
     for (Latency l : Latency.values()) {
@@ -77,15 +77,15 @@
     }
   }
 
-  public void add(Count count, long n) {
+  public void increment(Counter count, long n) {
     counts.get(count)[0] += n;
   }
 
-  public long value(Count count) {
+  public long value(Counter count) {
     return counts.get(count)[0];
   }
 
-  public void took(Latency latency, double seconds) {
+  public void recordLatency(Latency latency, double seconds) {
     latencies.get(latency).recordValue(Math.min(MAX_MICROS, Math.max(0, (long) (seconds * 1e6))));
   }
 
--- a/src/main/java/org/saffronshore/admin/OperatorSettings.java
+++ b/src/main/java/org/saffronshore/admin/OperatorSettings.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.saffronshore.scheduling.SchedulingSettings;
-import org.saffronshore.wire.Fields;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.FieldReader;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
  * What operators set at run time: the cycle's tuning, and teams' weights where they differ from the
  * guarantees.
  */
-public record OperatorSettings(SchedulingSettings tuning, Map<String, Double> teamWeights) {
-  public static final OperatorSettings START =
-      new OperatorSettings(SchedulingSettings.START, Map.of());
+public record OperatorSettings(SchedulingSettings scheduling, Map<String, Double> teamWeights) {
+  public static final OperatorSettings DEFAULTS =
+      new OperatorSettings(SchedulingSettings.DEFAULTS, Map.of());
   private static final Set<String> KNOWN =
       Set.of("period_s", "eviction_probability", "gpu_weight", "memory_weight", "team_weights");
   private static final double MAX = 1e6;
@@ -25,15 +25,16 @@
    * Reads settings; a field that is left out keeps its starting value, one that is not known is an
    * error.
    */
-  public static OperatorSettings parse(JsonNode body, Set<String> teams) throws InvalidField {
-    Fields f = Fields.of(body, "");
+  public static OperatorSettings parse(JsonNode body, Set<String> teams)
+      throws InvalidFieldException {
+    FieldReader f = FieldReader.of(body, "");
     for (var names = body.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       if (!KNOWN.contains(name)) {
-        throw new InvalidField(name, "is not a setting");
+        throw new InvalidFieldException(name, "is not a setting");
       }
     }
-    SchedulingSettings start = SchedulingSettings.START;
+    SchedulingSettings start = SchedulingSettings.DEFAULTS;
     SchedulingSettings tuning =
         new SchedulingSettings(
             f.number("period_s", 0.1, 3600, start.periodS()),
@@ -42,11 +43,11 @@
             f.number("memory_weight", 0, MAX, start.memoryWeight()));
     Map<String, Double> weights = new TreeMap<>();
     if (f.has("team_weights")) {
-      Fields w = f.object("team_weights");
+      FieldReader w = f.object("team_weights");
       for (var names = w.node().fieldNames(); names.hasNext(); ) {
         String team = names.next();
         if (!teams.contains(team)) {
-          throw new InvalidField("team_weights." + team, "is not a team");
+          throw new InvalidFieldException("team_weights." + team, "is not a team");
         }
         weights.put(team, w.number(team, 1e-3, MAX));
       }
@@ -58,10 +59,10 @@
   public ObjectNode toJson() {
     ObjectNode o =
         Json.object()
-            .put("period_s", tuning.periodS())
-            .put("eviction_probability", tuning.evictionProbability())
-            .put("gpu_weight", tuning.gpuWeight())
-            .put("memory_weight", tuning.memoryWeight());
+            .put("period_s", scheduling.periodS())
+            .put("eviction_probability", scheduling.evictionProbability())
+            .put("gpu_weight", scheduling.gpuWeight())
+            .put("memory_weight", scheduling.memoryWeight());
     ObjectNode weights = o.putObject("team_weights");
     new TreeMap<>(teamWeights).forEach(weights::put);
     return o;
--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -1,5 +1,7 @@
 package org.saffronshore.cli;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.ServerSocket;
@@ -28,11 +30,11 @@
           "cluster.Cluster",
           "cluster.CommandBatch",
           "cluster.CommandDispatcher",
-          "cluster.Views",
-          "cluster.TeamUsage",
+          "cluster.ClusterView",
+          "cluster.QuotaAccounting",
           "cluster.JobTable",
           "cluster.MachineTable",
-          "cluster.RunTimes",
+          "cluster.RuntimeEstimator",
           "cluster.MachineRegistry",
           "cluster.UnresponsiveMachineDetector",
           "cluster.Machine",
@@ -42,37 +44,37 @@
           "control.Leader",
           "control.SchedulingLoop",
           "control.Autoscaler",
-          "control.MachineReturner",
+          "control.ScaleIn",
           "peer.PeerMessage",
-          "peer.PeerAnswer",
-          "control.JobWatcher",
+          "peer.PeerResponse",
+          "control.OpenJobWatcher",
           "control.TermStore",
           "control.PagedRecords",
           "control.PagedRecords$Batch",
           "scheduling.FailedPlacements",
           "fleet.Forecast",
-          "fleet.Forecast$Line",
+          "fleet.Forecast$MachineTimeline",
           "fleet.DisplacedTasks",
-          "scheduling.Cycle",
-          "scheduling.Plan",
-          "scheduling.Plan$Placement",
-          "scheduling.Plan$LimitedTasks",
-          "scheduling.Host",
+          "scheduling.SchedulingCycle",
+          "scheduling.SchedulingPlan",
+          "scheduling.SchedulingPlan$Placement",
+          "scheduling.SchedulingPlan$QuotaLimitedTasks",
+          "scheduling.MachineView",
           "scheduling.PendingJob",
           "scheduling.Team",
-          "scheduling.TeamUse",
-          "scheduling.TeamUse$Amounts",
+          "scheduling.QuotaUsage",
+          "scheduling.QuotaUsage$Amounts",
           "scheduling.Resources",
-          "scheduling.HostedTask",
-          "fleet.RentalPlan",
+          "scheduling.PlacedTask",
+          "fleet.ScaleOutPlan",
           "fleet.MachineKind",
-          "wire.Report",
+          "wire.Heartbeat",
           "wire.Command",
           "wire.TaskId",
           "wire.MachineType",
           "admin.OperatorSettings",
-          "state.Txn",
-          "state.OpenCheck",
+          "state.Transaction",
+          "state.OpenJobChecker",
           "state.SubmissionQueue",
           "leadership.LeaderTerm",
           "leadership.StoreLease");
@@ -86,10 +88,10 @@
     Settings settings;
     try (InputStream in = CdsTrainingCommand.class.getResourceAsStream("cds-training.json")) {
       String text =
-          new String(in.readAllBytes())
+          new String(in.readAllBytes(), UTF_8)
               .replace("${port}", "" + port)
               .replace("${peer}", "" + peerPort);
-      settings = Settings.parse(Json.parse(text.getBytes()));
+      settings = Settings.parse(Json.parse(text.getBytes(UTF_8)));
     }
     ControllerCommand.run(settings);
     loadAll();
--- a/src/main/java/org/saffronshore/cli/ControllerCommand.java
+++ b/src/main/java/org/saffronshore/cli/ControllerCommand.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.Callable;
 import java.util.random.RandomGenerator;
 import org.saffronshore.config.Settings;
-import org.saffronshore.control.Node;
+import org.saffronshore.control.Controller;
+import org.saffronshore.http.ConnectionLimit;
 import org.saffronshore.http.HttpClient;
-import org.saffronshore.http.NettyLoop;
-import org.saffronshore.http.Sockets;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.http.NettyEventLoop;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,13 +45,13 @@
     try {
       JsonNode root = Json.parse(Files.readAllBytes(config));
       if (root == null) {
-        throw new InvalidField("settings", "is not JSON");
+        throw new InvalidFieldException("settings", "is not JSON");
       }
       settings = Settings.parse(root);
     } catch (IOException e) {
       log.error("the settings file {} cannot be read: {}", config, e.toString());
       return BAD_SETTINGS;
-    } catch (InvalidField e) {
+    } catch (InvalidFieldException e) {
       log.error("the settings file {} is not valid: {}", config, e.getMessage());
       return BAD_SETTINGS;
     }
@@ -64,29 +64,30 @@
       log.error(
           "{} cannot serve on {} and {}: {}",
           settings.node(),
-          settings.listen(),
-          settings.peerListen(),
+          settings.listenAddress(),
+          settings.peerListenAddress(),
           e.toString());
       return CANNOT_SERVE;
     }
     log.info(
         "{} serves on {}, and its peers on {}",
         settings.node(),
-        settings.listen(),
-        settings.peerListen());
+        settings.listenAddress(),
+        settings.peerListenAddress());
     return RUNNING;
   }
 
   static void run(Settings settings) throws InterruptedException {
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     HttpClient client =
         new HttpClient(
             loop,
             loop.group(),
-            new Sockets(Math.max(8, settings.sockets() / 6)),
+            new ConnectionLimit(Math.max(8, settings.maxSockets() / 6)),
             HttpClient.IDLE_S);
-    Node node = new Node(loop, settings, client, RandomGenerator.of("L64X128MixRandom"));
+    Controller node =
+        new Controller(loop, settings, client, RandomGenerator.of("L64X128MixRandom"));
     node.serve(loop.group());
-    loop.soon(node::start);
+    loop.execute(node::start);
   }
 }
--- a/src/main/java/org/saffronshore/cloud/MachinePage.java
+++ b/src/main/java/org/saffronshore/cloud/MachinePage.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.saffronshore.http.Answer;
+import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
  * A part of the cloud's list of machines, in the order of their names; {@code last} if it is the
  * end.
  */
-public record MachinePage(List<ListedMachine> machines, boolean last) {
+public record MachinePage(List<ListedMachine> machines, boolean isLast) {
 
   /**
    * A machine as the cloud lists it.
@@ -26,7 +26,7 @@
       String zone,
       boolean spot,
       boolean failed,
-      double heldS) {
+      double rentedForS) {
 
     private static ListedMachine parse(JsonNode listed) {
       return new ListedMachine(
@@ -34,14 +34,14 @@
           Json.text(listed, "Address"),
           Json.text(listed, "Rig"),
           Json.text(listed, "Depot"),
-          Json.flag(listed, "Loaner"),
+          Json.bool(listed, "Loaner"),
           "failed".equals(Json.text(listed, "Status")),
           Json.number(listed, "HeldS", 0));
     }
   }
 
   /** Empty when the list could not be had. */
-  static Optional<MachinePage> of(Answer answer) {
+  static Optional<MachinePage> of(Response answer) {
     JsonNode body = answer.ok() ? answer.json() : null;
     if (body == null || !body.path("Cadres").isArray()) {
       return Optional.empty();
@@ -53,6 +53,6 @@
         machines.add(machine);
       }
     }
-    return Optional.of(new MachinePage(machines, !Json.flag(body, "Truncated")));
+    return Optional.of(new MachinePage(machines, !Json.bool(body, "Truncated")));
   }
 }
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.saffronshore.http.Answer;
+import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
 /**
@@ -22,7 +22,7 @@
     UNKNOWN
   }
 
-  static RentalResult of(Answer answer) {
+  static RentalResult of(Response answer) {
     JsonNode body = answer.json();
     List<String> machines = new ArrayList<>();
     if (answer.ok() && body != null) {
--- a/src/main/java/org/saffronshore/cluster/Attempt.java
+++ b/src/main/java/org/saffronshore/cluster/Attempt.java
@@ -11,10 +11,10 @@
 
   /** SENDING: no report has shown it yet. */
   public enum State {
-    SENDING,
-    FETCHING,
+    LAUNCHING,
+    PULLING_IMAGE,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     EXITED
   }
 
@@ -27,17 +27,17 @@
    */
   JobSpec job;
 
-  State state = State.SENDING;
+  State state = State.LAUNCHING;
   boolean done;
   boolean stopping;
-  double graceS;
+  double gracePeriodS;
   double stopSentAt = Double.NEGATIVE_INFINITY;
 
   /** Whether a launch has ever been handed to the network. */
-  boolean sent;
+  boolean launchSent;
 
   /** Launches that are under way and not answered yet. */
-  int inFlight;
+  int launchesInFlight;
 
   /** A launch was lost: it may arrive at any time as long as token and session match. */
   boolean deliveryUnknown;
@@ -45,7 +45,7 @@
   double runningSince = Double.NaN;
 
   /** Whether this leader saw it run from the start. */
-  boolean fromStart;
+  boolean observedFromStart;
 
   final double placedAt;
 
@@ -96,6 +96,6 @@
    * anew.
    */
   boolean launchMayArrive() {
-    return deliveryUnknown || inFlight > 0;
+    return deliveryUnknown || launchesInFlight > 0;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.saffronshore.config.Settings;
-import org.saffronshore.fleet.Arrivals;
-import org.saffronshore.http.Loop;
+import org.saffronshore.fleet.ArrivalStatistics;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.Command;
+import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
-import org.saffronshore.wire.Report;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +38,7 @@
   /** The rate at which jobs come is taken over twice this share of a lease. */
   private static final double RATE_LEASES = 0.5;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final long term;
 
@@ -46,30 +46,30 @@
   private final JobTable jobs;
   private final MachineTable machines;
 
-  private Map<String, MachineType> types = Map.of();
+  private Map<String, MachineType> machineTypes = Map.of();
 
-  private final RunTimes runs = new RunTimes();
-  private final Arrivals arrivals;
+  private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+  private final ArrivalStatistics arrivals;
   private long lastAttempt;
   private boolean changed;
   private final CommandDispatcher dispatcher;
-  private final Views views;
-  private final Reports reports;
+  private final ClusterView view;
+  private final HeartbeatReconciler reports;
   private final MachineRegistry registry;
   private final UnresponsiveMachineDetector unresponsiveMachines;
 
   /** Starts a term with nothing known. */
-  public Cluster(Loop loop, Settings settings, long term, long termVersion) {
+  public Cluster(EventLoop loop, Settings settings, long term, long termVersion) {
     this.loop = loop;
     this.settings = settings;
     this.term = term;
     this.startedAt = loop.now();
-    this.arrivals = new Arrivals(RATE_LEASES * settings.leaseS());
-    this.jobs = new JobTable(loop, arrivals, termVersion, this::changed);
+    this.arrivals = new ArrivalStatistics(RATE_LEASES * settings.workerLeaseS());
+    this.jobs = new JobTable(loop, arrivals, termVersion, this::markChanged);
     this.machines = new MachineTable(this, loop, settings);
     this.dispatcher = new CommandDispatcher(this, loop, settings);
-    this.views = new Views(this, loop, settings);
-    this.reports = new Reports(this, loop, settings);
+    this.view = new ClusterView(this, loop, settings);
+    this.reports = new HeartbeatReconciler(this, loop, settings);
     this.registry = new MachineRegistry(this, loop);
     this.unresponsiveMachines = new UnresponsiveMachineDetector(this, loop, settings);
   }
@@ -82,22 +82,22 @@
     return startedAt;
   }
 
-  public Map<String, MachineType> types() {
-    return types;
+  public Map<String, MachineType> machineTypes() {
+    return machineTypes;
   }
 
   /** Takes the cloud's current machine types. */
-  public void types(Map<String, MachineType> newTypes) {
-    if (!newTypes.equals(types)) {
-      types = newTypes;
-      machines.all().forEach(Machine::changed);
+  public void machineTypes(Map<String, MachineType> newTypes) {
+    if (!newTypes.equals(machineTypes)) {
+      machineTypes = newTypes;
+      machines.all().forEach(Machine::invalidateView);
       changed = true;
     }
   }
 
   /** Null as long as the machine's type, or all types, are not known. */
   MachineType typeOf(Machine m) {
-    return m.type == null ? null : types.get(m.type);
+    return m.type == null ? null : machineTypes.get(m.type);
   }
 
   /** Which machines the next leader must know of. */
@@ -111,20 +111,20 @@
   }
 
   /** Something has happened that may let a task be placed. */
-  void changed() {
+  void markChanged() {
     changed = true;
   }
 
   void commandsDue(Machine m) {
-    dispatcher.due(m);
+    dispatcher.markDue(m);
   }
 
   boolean hasCommands(Machine m) {
     return dispatcher.hasCommands(m);
   }
 
-  RunTimes runs() {
-    return runs;
+  RuntimeEstimator runtimeEstimator() {
+    return runtimeEstimator;
   }
 
   public Collection<Machine> machines() {
@@ -147,20 +147,20 @@
     return machines.isRemoved(machine);
   }
 
-  public boolean isUnconfirmed(Machine m) {
-    return machines.unconfirmed().contains(m);
+  public boolean isUnreconciled(Machine m) {
+    return machines.unreconciled().contains(m);
   }
 
-  Set<Machine> unconfirmed() {
-    return machines.unconfirmed();
+  Set<Machine> unreconciled() {
+    return machines.unreconciled();
   }
 
-  public int unconfirmedCount() {
-    return machines.unconfirmed().size();
+  public int unreconciledCount() {
+    return machines.unreconciled().size();
   }
 
   /** Whether anything happened since the last call that may let a task be placed. */
-  public boolean takeChanged() {
+  public boolean consumeChanged() {
     boolean was = changed;
     changed = false;
     return was;
@@ -194,56 +194,56 @@
     if (job == null) {
       return;
     }
-    unconfirmed().forEach(m -> m.jobEnded(job));
+    unreconciled().forEach(m -> m.jobEnded(job));
     for (Attempt a : new ArrayList<>(job.placed.values())) {
       stop(a, 0, "its job is over");
     }
-    for (Attempt a : new ArrayList<>(job.others)) {
+    for (Attempt a : new ArrayList<>(job.duplicateAttempts)) {
       stop(a, 0, "its job is over");
     }
     changed = true;
   }
 
   /** Which open jobs need which others. */
-  public Dependencies dependencies() {
+  public DependencyGraph dependencies() {
     return jobs.dependencies();
   }
 
   /** How a job ended that others may need: some of them may be ready by that. */
-  public void ended(String id, boolean done, long atMs) {
-    jobs.ended(id, done, atMs);
+  public void jobEnded(String id, boolean done, long atMs) {
+    jobs.jobEnded(id, done, atMs);
   }
 
   /** Jobs with finished tasks that the state service does not know of yet. */
-  public Set<Job> unsaved() {
-    return jobs.unsaved();
+  public Set<Job> jobsWithUnsavedTasks() {
+    return jobs.unsavedJobs();
   }
 
   /** The state service knows these finished tasks; their attempts need not be kept any more. */
-  public void saved(Job job, BitSet tasks) {
-    jobs.saved(job, tasks);
+  public void finishedTasksSaved(Job job, BitSet tasks) {
+    jobs.finishedTasksSaved(job, tasks);
   }
 
   /** Open jobs whose tasks are all finished. */
-  public Set<Job> complete() {
-    return jobs.complete();
+  public Set<Job> completedJobs() {
+    return jobs.completedJobs();
   }
 
   /** Jobs with tasks that are placed, and go out once it is written down that they may have. */
-  public Set<Job> awaitingLaunchMark() {
-    return jobs.awaitingLaunchMark();
+  public Set<Job> jobsAwaitingLaunchWatermark() {
+    return jobs.awaitingLaunchWatermark();
   }
 
   /** The state service knows that tasks of the job up to this one may have been launched. */
-  public void launchMarkSaved(Job job, int launchMark) {
-    jobs.launchMarkSaved(job, launchMark);
-    job.placed.values().forEach(a -> dispatcher.due(a.machine));
+  public void launchWatermarkSaved(Job job, int launchMark) {
+    jobs.launchWatermarkSaved(job, launchMark);
+    job.placed.values().forEach(a -> dispatcher.markDue(a.machine));
   }
 
   // Machines
 
-  Machine known(String id) {
-    return machines.known(id);
+  Machine getOrCreate(String id) {
+    return machines.getOrCreate(id);
   }
 
   /** A machine that an earlier leader gave tasks to; see {@link MachineTable#addRegistered}. */
@@ -252,12 +252,12 @@
   }
 
   /** The cloud has answered a rental request with this machine. */
-  public void rented(String id, String type, String zone, boolean spot, double requestedAt) {
-    machines.rented(id, type, zone, spot, requestedAt);
+  public void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
+    machines.machineRented(id, type, zone, spot, requestedAt);
   }
 
   /** One line of the cloud's list. */
-  public void listed(
+  public void machineListed(
       String id,
       String address,
       String type,
@@ -265,22 +265,22 @@
       boolean spot,
       boolean failed,
       double ageS) {
-    machines.listed(id, address, type, zone, spot, failed, ageS);
+    machines.machineListed(id, address, type, zone, spot, failed, ageS);
   }
 
-  /** Drops what a complete list of the cloud lacks; see {@link MachineTable#listedOnly}. */
-  public void listedOnly(Set<String> ids, double requestedAt) {
-    machines.listedOnly(ids, requestedAt);
+  /** Drops what a complete list of the cloud lacks; see {@link MachineTable#removeUnlisted}. */
+  public void removeUnlisted(Set<String> ids, double requestedAt) {
+    machines.removeUnlisted(ids, requestedAt);
   }
 
   /** The machine does not exist any more, and nothing on it. */
-  public void removed(Machine m, String why) {
-    machines.removed(m, why);
+  public void machineRemoved(Machine m, String why) {
+    machines.machineRemoved(m, why);
   }
 
   /** The cloud has been asked to take the machine back: nothing new may start there. */
-  public void returning(Machine m) {
-    machines.returning(m);
+  public void markReturning(Machine m) {
+    machines.markReturning(m);
   }
 
   /**
@@ -290,30 +290,30 @@
     machines.expireLeases();
   }
 
-  /** This node stood still until now; see {@link MachineTable#stoodStill}. */
-  public void stoodStill() {
-    machines.stoodStill();
+  /** This node stood still until now; see {@link MachineTable#onProcessPause}. */
+  public void onProcessPause() {
+    machines.onProcessPause();
   }
 
-  double awakeSince() {
-    return machines.awakeSince();
+  double resumedAt() {
+    return machines.resumedAt();
   }
 
   /** Whether most machines that are up have not been heard for a while. */
-  public boolean mostlySilent(double forS) {
-    return machines.mostlySilent(forS);
+  public boolean isMostlySilent(double forS) {
+    return machines.isMostlySilent(forS);
   }
 
   // Reports
 
   /** Takes a report that the worker sent by itself, and that is going to be answered with 200. */
-  public Machine reported(Report r) {
-    return reports.reported(r);
+  public Machine heartbeatReceived(Heartbeat r) {
+    return reports.heartbeatReceived(r);
   }
 
   /** Takes the report in a worker's answer to a direct command, which renews no lease. */
-  public void answered(Machine m, Report r) {
-    reports.answered(m, r);
+  public void directStatusReceived(Machine m, Heartbeat r) {
+    reports.directStatusReceived(m, r);
   }
 
   /**
@@ -321,7 +321,7 @@
    */
   void endAttempt(Attempt a) {
     Machine m = a.machine;
-    m.changed();
+    m.invalidateView();
     m.attempts.remove(a.task, a);
     if (m.attempts.isEmpty() && !Double.isFinite(m.idleSince)) {
       m.idleSince = loop.now();
@@ -329,7 +329,7 @@
     changed = true;
     Job job = jobs.get(a.task.job());
     if (job != null && a.task.index() < job.spec.tasks()) {
-      job.leave(a);
+      job.removeAttempt(a);
     }
   }
 
@@ -348,21 +348,24 @@
   public Optional<Attempt> place(TaskId task, String machineId, boolean overdue) {
     Machine m = machines.get(machineId);
     Job job = jobs.get(task.job());
-    if (m == null || job == null || !job.waiting.get(task.index()) || !m.usable(loop.now())) {
+    if (m == null
+        || job == null
+        || !job.waitingTasks.get(task.index())
+        || !m.isSchedulable(loop.now())) {
       return Optional.empty();
     }
     Attempt a = new Attempt(task, (term << TERM_SHIFT) + ++lastAttempt, m, job.spec, loop.now());
     a.overdue = overdue;
-    job.enter(a);
+    job.addAttempt(a);
     m.attempts.put(task, a);
-    m.changed();
+    m.invalidateView();
     m.idleSince = Double.POSITIVE_INFINITY;
     reports.useImage(m, a);
-    if (job.launchable(task.index())) {
-      dispatcher.due(m);
+    if (job.isLaunchable(task.index())) {
+      dispatcher.markDue(m);
     } else {
-      job.requestLaunchMark(task.index());
-      jobs.awaitingLaunchMark().add(job);
+      job.requestLaunchWatermark(task.index());
+      jobs.awaitingLaunchWatermark().add(job);
     }
     return Optional.of(a);
   }
@@ -372,7 +375,10 @@
     Machine m = machines.get(machineId);
     Attempt a = m == null ? null : m.attempts.get(task);
     if (a != null) {
-      double grace = a.job != null && a.job.saves() ? a.job.saveS() + settings.reportS() : 0;
+      double grace =
+          a.job != null && a.job.supportsCheckpoints()
+              ? a.job.checkpointDurationS() + settings.heartbeatIntervalS()
+              : 0;
       stop(a, grace, why);
     }
   }
@@ -380,17 +386,17 @@
   void stop(Attempt a, double graceS, String why) {
     if (!a.stopping) {
       LOG.debug("stopping task {} on {}: {}; attempt={}", a.task, a.machine.id, why, a.number);
-    } else if (graceS >= a.graceS) {
+    } else if (graceS >= a.gracePeriodS) {
       return;
     }
     a.stopping = true;
-    a.machine.changed();
-    a.graceS = graceS;
+    a.machine.invalidateView();
+    a.gracePeriodS = graceS;
     a.stopSentAt = Double.NEGATIVE_INFINITY;
-    if (a.state == Attempt.State.SENDING && !a.sent) {
+    if (a.state == Attempt.State.LAUNCHING && !a.launchSent) {
       endAttempt(a);
     } else {
-      dispatcher.due(a.machine);
+      dispatcher.markDue(a.machine);
     }
   }
 
@@ -399,54 +405,55 @@
    * in time go elsewhere at once. The notice may be off by half, so only what needs clearly less is
    * left to run to its end.
    */
-  void drain(Machine m, double noticeS) {
+  void handlePreemptionNotice(Machine m, double noticeS) {
     double now = loop.now();
     for (Attempt a : m.allAttempts()) {
       if (a.job == null || a.stopping) {
         continue;
       }
-      double left = runs.remainingS(a, now);
-      if (a.job.saves() ? left > noticeS / 2 : left > noticeS * 3 / 2) {
+      double left = runtimeEstimator.remainingRuntimeS(a, now);
+      if (a.job.supportsCheckpoints() ? left > noticeS / 2 : left > noticeS * 3 / 2) {
         stop(a.task, m.id, "the machine is to be taken back");
       }
     }
   }
 
   /** Stops what is on a machine, with time to save, so that it goes on elsewhere. */
-  public void empty(Machine m) {
+  public void drain(Machine m) {
     m.draining = true;
     for (Attempt a : m.allAttempts()) {
       stop(a.task, m.id, "the machine is to be returned");
     }
   }
 
-  public Arrivals arrivals() {
+  public ArrivalStatistics arrivals() {
     return arrivals;
   }
 
-  double remainingS(Attempt a, double now) {
-    return runs.remainingS(a, now);
+  double remainingRuntimeS(Attempt a, double now) {
+    return runtimeEstimator.remainingRuntimeS(a, now);
   }
 
-  public double lastsS(JobSpec job) {
-    return runs.lastsS(job);
+  public double expectedRuntimeS(JobSpec job) {
+    return runtimeEstimator.expectedRuntimeS(job);
   }
 
   // Commands
 
   /** What to send to a machine now, or null. */
-  public CommandBatch call(Machine m) {
-    return dispatcher.call(m);
+  public CommandBatch nextBatch(Machine m) {
+    return dispatcher.nextBatch(m);
   }
 
   /** What became of a call: 200, 409, not sent, or anything else, which may yet be carried out. */
-  public void called(CommandBatch call, boolean executed, boolean surelyNot, Report report) {
-    dispatcher.called(call, executed, surelyNot, report);
+  public void batchCompleted(
+      CommandBatch call, boolean executed, boolean surelyNot, Heartbeat report) {
+    dispatcher.batchCompleted(call, executed, surelyNot, report);
   }
 
   /** Machines whose calls failed and may be tried again. */
   public void retryCommands() {
-    dispatcher.retry();
+    dispatcher.requeueRetryable();
   }
 
   /**
@@ -463,32 +470,32 @@
    * Machines of earlier terms that are not accounted for may still hold tasks that are older than
    * this term.
    */
-  boolean mayBeUnseen(Job job) {
-    return !unconfirmed().isEmpty() && jobs.olderThanTerm(job);
+  boolean mayRunOnUnreconciled(Job job) {
+    return !unreconciled().isEmpty() && jobs.isOlderThanTerm(job);
   }
 
   /**
    * Whether a task of the job may be on a machine that is not accounted for, in a zone that nobody
    * knows here.
    */
-  boolean zoneUnseen(Job job) {
-    if (!mayBeUnseen(job)) {
+  boolean mayRunInUnknownZone(Job job) {
+    if (!mayRunOnUnreconciled(job)) {
       return false;
     }
-    BitSet tasks = job.launchedUnconfirmed();
-    return !tasks.isEmpty() && unconfirmed().stream().anyMatch(m -> m.mayHold(job, tasks));
+    BitSet tasks = job.launchedOnUnreconciled();
+    return !tasks.isEmpty() && unreconciled().stream().anyMatch(m -> m.mayHoldAny(job, tasks));
   }
 
   /**
    * Whether one of the machines not accounted for may hold anything, and not only what was written
    * down.
    */
-  boolean anythingUnseen() {
-    return unconfirmed().stream().anyMatch(m -> m.held == null);
+  boolean anyUnreconciledMayHoldAnything() {
+    return unreconciled().stream().anyMatch(m -> m.possibleTasks == null);
   }
 
   /** The cluster as the scheduling cycle and the autoscaler look at it. */
-  public Views views() {
-    return views;
+  public ClusterView view() {
+    return view;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Views.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -10,10 +10,10 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
-import org.saffronshore.http.Loop;
-import org.saffronshore.scheduling.Host;
-import org.saffronshore.scheduling.HostedTask;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.scheduling.MachineView;
 import org.saffronshore.scheduling.PendingJob;
+import org.saffronshore.scheduling.PlacedTask;
 import org.saffronshore.scheduling.Resources;
 import org.saffronshore.scheduling.SchedulingSettings;
 import org.saffronshore.scheduling.Team;
@@ -21,15 +21,15 @@
 import org.saffronshore.wire.TaskId;
 
 /** The cluster as the cycle and the fleet look at it. Reads only. */
-public final class Views {
+public final class ClusterView {
   /** A job of which nothing has run for so many leases goes first, with one task. */
   private static final double PATIENCE_LEASES = 4;
 
   private final Cluster cluster;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
 
-  Views(Cluster cluster, Loop loop, Settings settings) {
+  ClusterView(Cluster cluster, EventLoop loop, Settings settings) {
     this.cluster = cluster;
     this.loop = loop;
     this.settings = settings;
@@ -55,12 +55,12 @@
         double cpus = a.job == null ? 0 : a.job.cpus();
         used += cpus;
         running += a.state == Attempt.State.RUNNING ? cpus : 0;
-        fetching += a.state == Attempt.State.FETCHING ? 1 : 0;
+        fetching += a.state == Attempt.State.PULLING_IMAGE ? 1 : 0;
       }
     }
     int waiting = 0;
     for (Job job : cluster.jobs()) {
-      waiting += job.ready ? job.waiting.cardinality() : 0;
+      waiting += job.ready ? job.waitingTasks.cardinality() : 0;
     }
     return cluster.machines().size()
         + " machines ("
@@ -68,7 +68,7 @@
         + " up, "
         + coming
         + " coming or lost, "
-        + cluster.unconfirmedCount()
+        + cluster.unreconciledCount()
         + " unaccounted), CPUs "
         + Math.round(total)
         + " up, "
@@ -82,19 +82,19 @@
         + " tasks waiting, "
         + fetching
         + " fetching; "
-        + cluster.dependencies().waiting()
+        + cluster.dependencies().waitingCount()
         + " jobs wait for others";
   }
 
   /** What is free on a machine now, or null when nothing may be put there. */
   public Resources freeOn(Machine m) {
     MachineType type = cluster.typeOf(m);
-    if (type == null || !m.usable(loop.now())) {
+    if (type == null || !m.isSchedulable(loop.now())) {
       return null;
     }
-    Resources room = Resources.of(type);
+    Resources room = Resources.capacityOf(type);
     for (Attempt a : m.attempts.values()) {
-      room.take(a.job);
+      room.subtract(a.job);
     }
     return room;
   }
@@ -104,34 +104,35 @@
    *
    * @param released whether to count what running tasks will leave
    */
-  public List<Forecast.Line> lines(double lateBoot, boolean released) {
+  public List<Forecast.MachineTimeline> machineTimelines(double lateBoot, boolean released) {
     double now = loop.now();
-    List<Forecast.Line> lines = new ArrayList<>();
+    List<Forecast.MachineTimeline> lines = new ArrayList<>();
     for (Machine m : cluster.machines()) {
       MachineType type = cluster.typeOf(m);
-      if (type == null || !m.reliable(now)) {
+      if (type == null || !m.isReliable(now)) {
         continue;
       }
       if (m.up) {
         lines.add(line(m, type, released, now));
-      } else if (!m.everUp() && now < m.rentedAt + type.bootS() * lateBoot) {
+      } else if (!m.wasEverUp() && now < m.rentedAt + type.bootS() * lateBoot) {
         double upAt = Math.max(now, m.rentedAt + type.bootS());
-        lines.add(new Forecast.Line(m.kind(), Resources.of(type), upAt));
+        lines.add(new Forecast.MachineTimeline(m.kind(), Resources.capacityOf(type), upAt));
       }
     }
     return lines;
   }
 
-  private Forecast.Line line(Machine m, MachineType type, boolean released, double now) {
-    Resources room = Resources.of(type);
-    Forecast.Line line = new Forecast.Line(m.kind(), room, Math.max(now, m.suspendedUntil));
+  private Forecast.MachineTimeline line(Machine m, MachineType type, boolean released, double now) {
+    Resources room = Resources.capacityOf(type);
+    Forecast.MachineTimeline line =
+        new Forecast.MachineTimeline(m.kind(), room, Math.max(now, m.backoffUntil));
     for (Attempt a : m.attempts.values()) {
       if (a.job == null) {
         continue;
       }
-      room.take(a.job);
+      room.subtract(a.job);
       if (released) {
-        line.running(a.job, now + cluster.remainingS(a, now));
+        line.running(a.job, now + cluster.remainingRuntimeS(a, now));
       }
     }
     return line;
@@ -159,34 +160,35 @@
   }
 
   /** Machines that can take tasks. What did not change since the last time is not made anew. */
-  public List<Host> hosts() {
+  public List<MachineView> hosts() {
     double now = loop.now();
-    List<Host> hosts = new ArrayList<>(cluster.machines().size());
+    List<MachineView> hosts = new ArrayList<>(cluster.machines().size());
     for (Machine m : cluster.machines()) {
       MachineType type = cluster.typeOf(m);
-      if (type == null || !m.usable(now)) {
+      if (type == null || !m.isSchedulable(now)) {
         continue;
       }
-      if (m.host == null || m.host.touched()) {
-        m.host = new Host(m.id, m.kind(), Resources.of(type), m::barred, m.images());
+      if (m.cachedView == null || m.cachedView.isModified()) {
+        m.cachedView =
+            new MachineView(m.id, m.kind(), Resources.capacityOf(type), m::hasTraceOf, m.images());
         for (Attempt a : m.attempts.values()) {
-          m.host.add(new HostedTask(a.task, a.job, a.stopping, a.runningSince, a.overdue));
+          m.cachedView.add(new PlacedTask(a.task, a.job, a.stopping, a.runningSince, a.overdue));
         }
       }
-      hosts.add(m.host);
+      hosts.add(m.cachedView);
     }
     return hosts;
   }
 
   /** Waiting tasks of the job but for those that machines not accounted for may hold. */
   private BitSet seen(Job job, boolean anything) {
-    BitSet waiting = (BitSet) job.waiting.clone();
+    BitSet waiting = (BitSet) job.waitingTasks.clone();
     if (anything) {
-      waiting.andNot(job.launchedBefore());
+      waiting.andNot(job.waitingTasksLaunchedBefore());
       return waiting;
     }
-    for (Machine m : cluster.unconfirmed()) {
-      for (TaskId task : m.held) {
+    for (Machine m : cluster.unreconciled()) {
+      for (TaskId task : m.possibleTasks) {
         if (task.job().equals(job.spec.id())) {
           waiting.clear(task.index());
         }
@@ -204,17 +206,17 @@
   public List<PendingJob> pending(boolean written) {
     double now = loop.now();
     List<PendingJob> all = new ArrayList<>();
-    boolean anything = cluster.anythingUnseen();
+    boolean anything = cluster.anyUnreconciledMayHoldAnything();
     for (Job job : cluster.jobs()) {
-      if (!job.ready || job.waiting.isEmpty() || now < job.backOffUntil) {
+      if (!job.ready || job.waitingTasks.isEmpty() || now < job.backoffUntil) {
         continue;
       }
-      BitSet waiting = cluster.mayBeUnseen(job) ? seen(job, anything) : job.waiting;
+      BitSet waiting = cluster.mayRunOnUnreconciled(job) ? seen(job, anything) : job.waitingTasks;
       if (!written) {
-        waiting = waiting.get(0, Math.min(job.launchMark, job.spec.tasks()));
+        waiting = waiting.get(0, Math.min(job.launchWatermark, job.spec.tasks()));
       }
-      boolean zonesMatter = PendingJob.zonesMatter(job.spec);
-      if (waiting.isEmpty() || zonesMatter && cluster.zoneUnseen(job)) {
+      boolean zonesMatter = PendingJob.hasZoneConstraint(job.spec);
+      if (waiting.isEmpty() || zonesMatter && cluster.mayRunInUnknownZone(job)) {
         continue;
       }
       Map<String, Integer> perZone = zonesMatter ? perZone(job) : Map.of();
@@ -228,25 +230,26 @@
   private static Map<String, Integer> perZone(Job job) {
     Map<String, Integer> perZone = new HashMap<>();
     job.placed.values().forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
-    job.others.forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
+    job.duplicateAttempts.forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
     return perZone;
   }
 
   /** Whether the job has waited for very long, and nothing of it has ever run. */
   private boolean starving(Job job) {
-    boolean waitsLong = job.waitedS(loop.wallMs()) > PATIENCE_LEASES * settings.leaseS();
-    return waitsLong && !job.begun && job.done.isEmpty() && job.placed.isEmpty();
+    boolean waitsLong =
+        job.waitingTimeS(loop.wallClockMs()) > PATIENCE_LEASES * settings.workerLeaseS();
+    return waitsLong && !job.hasStarted && job.finishedTasks.isEmpty() && job.placed.isEmpty();
   }
 
   /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
   public Map<String, Team> teams(SchedulingSettings tuning, Map<String, Double> weights) {
     Map<String, Team> teams = new HashMap<>();
-    for (Settings.Team t : settings.teams().values()) {
-      double guarantee = t.cpus() + t.gpus();
+    for (Settings.TeamQuota t : settings.teams().values()) {
+      double guarantee = t.guaranteedCpus() + t.guaranteedGpus();
       teams.put(
           t.name(), new Team(t, weights.getOrDefault(t.name(), guarantee > 0 ? guarantee : 1.0)));
     }
-    TeamUsage.count(cluster, teams, tuning);
+    QuotaAccounting.count(cluster, teams, tuning);
     return teams;
   }
 
@@ -256,16 +259,16 @@
    */
   public boolean movable(Machine m, double minRunS) {
     double now = loop.now();
-    if (m.empty() || !m.usable(now)) {
+    if (m.isEmpty() || !m.isSchedulable(now)) {
       return false;
     }
     for (Attempt a : m.attempts.values()) {
-      boolean free = a.job.saves() && !a.job.oneZone() && !a.job.spread();
+      boolean free = a.job.supportsCheckpoints() && !a.job.singleZone() && !a.job.spread();
       if (!free
           || a.stopping
           || a.state != Attempt.State.RUNNING
           || now < a.runningSince + minRunS
-          || cluster.remainingS(a, now) < 4 * a.job.saveS()) {
+          || cluster.remainingRuntimeS(a, now) < 4 * a.job.checkpointDurationS()) {
         return false;
       }
     }
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Set;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.Command;
-import org.saffronshore.wire.Report;
+import org.saffronshore.wire.Heartbeat;
 
 /**
  * What each machine is to be told: launches, stops, and what it may forget. Launches and stops go
@@ -21,18 +21,18 @@
   private static final int MAX_BACKOFFS = 5;
 
   private final Cluster cluster;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final Set<Machine> waiting = new LinkedHashSet<>();
 
-  CommandDispatcher(Cluster cluster, Loop loop, Settings settings) {
+  CommandDispatcher(Cluster cluster, EventLoop loop, Settings settings) {
     this.cluster = cluster;
     this.loop = loop;
     this.settings = settings;
   }
 
   /** The machine has, or may have, something to be told. */
-  void due(Machine m) {
+  void markDue(Machine m) {
     waiting.add(m);
   }
 
@@ -48,11 +48,11 @@
   }
 
   boolean hasCommands(Machine m) {
-    if (!m.confirmed || m.unresponsive) {
+    if (!m.reconciled || m.unresponsive) {
       return true;
     }
     for (Attempt a : m.attempts.values()) {
-      if (launchDue(a) && a.inFlight == 0 || dueStop(a)) {
+      if (isLaunchDue(a) && a.launchesInFlight == 0 || isStopDue(a)) {
         return true;
       }
     }
@@ -60,60 +60,60 @@
   }
 
   /** Whether its launch may go out, again or for the first time. */
-  private boolean launchDue(Attempt a) {
-    Job job = a.state == Attempt.State.SENDING ? cluster.job(a.task.job()) : null;
-    return a.state == Attempt.State.SENDING
-        && (a.sent || job != null && job.launchable(a.task.index()));
+  private boolean isLaunchDue(Attempt a) {
+    Job job = a.state == Attempt.State.LAUNCHING ? cluster.job(a.task.job()) : null;
+    return a.state == Attempt.State.LAUNCHING
+        && (a.launchSent || job != null && job.isLaunchable(a.task.index()));
   }
 
-  private boolean dueStop(Attempt a) {
-    return a.stopping && loop.now() >= a.stopSentAt + settings.reportS() * 2 / 3;
+  private boolean isStopDue(Attempt a) {
+    return a.stopping && loop.now() >= a.stopSentAt + settings.heartbeatIntervalS() * 2 / 3;
   }
 
   /** What to send to a machine now, or null. */
-  CommandBatch call(Machine m) {
+  CommandBatch nextBatch(Machine m) {
     double now = loop.now();
     // One that has not found this leader yet is asked where it is: tasks of older jobs wait for
     // what it holds.
-    boolean unheard = !m.up && cluster.isUnconfirmed(m);
+    boolean unheard = !m.up && cluster.isUnreconciled(m);
     if (cluster.machine(m.id) != m
         || m.commandInFlight
         || m.address == null
         || now < m.nextCommandAt
         || !hasCommands(m)
-        || !unheard && (!m.up || m.silent(now))) {
+        || !unheard && (!m.up || m.isSilent(now))) {
       return null;
     }
     List<Command> commands = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    if (m.confirmed) {
+    if (m.reconciled) {
       commands(m, commands, launches, true);
     }
     for (Attempt a : launches) {
-      a.sent = true;
-      a.inFlight++;
+      a.launchSent = true;
+      a.launchesInFlight++;
     }
     m.commandInFlight = true;
     // A wrong guess of the session is harmless: nothing is executed, and the refusal tells the
     // right one.
-    return new CommandBatch(m, Math.max(1, m.session), commands, launches);
+    return new CommandBatch(m, Math.max(1, m.epoch), commands, launches);
   }
 
   /** What became of a batch: 200, 409, not sent, or anything else, which may yet be carried out. */
-  void called(CommandBatch batch, boolean executed, boolean surelyNot, Report report) {
+  void batchCompleted(CommandBatch batch, boolean executed, boolean surelyNot, Heartbeat report) {
     Machine m = batch.machine();
     m.commandInFlight = false;
-    m.changed();
+    m.invalidateView();
     batch.launches().forEach(a -> launchAnswered(a, executed, surelyNot));
     if (report != null) {
       cluster.unresponsiveMachines().markResponsive(m);
-      cluster.answered(m, report);
+      cluster.directStatusReceived(m, report);
     }
     if (executed || surelyNot && report != null) {
       m.failedCommands = 0;
     } else {
       m.failedCommands = Math.min(m.failedCommands + 1, MAX_BACKOFFS);
-      m.nextCommandAt = loop.now() + settings.reportS() / 6 * m.failedCommands;
+      m.nextCommandAt = loop.now() + settings.heartbeatIntervalS() / 6 * m.failedCommands;
     }
     if (report != null) {
       // Executed, or refused, and yet the worker does not show it: it is not there.
@@ -125,12 +125,12 @@
   }
 
   private void launchAnswered(Attempt a, boolean executed, boolean surelyNot) {
-    a.inFlight--;
+    a.launchesInFlight--;
     if (!executed && !surelyNot) {
       a.deliveryUnknown = true;
     }
-    if (surelyNot && a.state == Attempt.State.SENDING && !a.launchMayArrive()) {
-      a.sent = false;
+    if (surelyNot && a.state == Attempt.State.LAUNCHING && !a.launchMayArrive()) {
+      a.launchSent = false;
       if (a.stopping && a.machine.attempts.get(a.task) == a) {
         cluster.endAttempt(a);
       }
@@ -139,13 +139,13 @@
 
   /** Whether no report has shown the attempt and no launch of it can arrive any more. */
   private boolean neverArrives(Attempt a) {
-    return a.state == Attempt.State.SENDING
+    return a.state == Attempt.State.LAUNCHING
         && !a.launchMayArrive()
         && a.machine.attempts.get(a.task) == a;
   }
 
   /** Machines whose calls failed and may be tried again. */
-  void retry() {
+  void requeueRetryable() {
     for (Machine m : cluster.machines()) {
       if (m.up && !m.commandInFlight && hasCommands(m)) {
         waiting.add(m);
@@ -159,7 +159,7 @@
    */
   List<Command> responseCommands(Machine m) {
     List<Command> commands = new ArrayList<>();
-    if (m.confirmed) {
+    if (m.reconciled) {
       commands(m, commands, new ArrayList<>(), false);
     }
     return commands;
@@ -170,10 +170,10 @@
       if (commands.size() >= MAX_COMMANDS) {
         return;
       }
-      if (a.state == Attempt.State.SENDING) {
+      if (a.state == Attempt.State.LAUNCHING) {
         launch(a, commands, launches, direct);
-      } else if (dueStop(a)) {
-        commands.add(Command.stop(a.task, a.number, a.graceS));
+      } else if (isStopDue(a)) {
+        commands.add(Command.stop(a.task, a.number, a.gracePeriodS));
         a.stopSentAt = loop.now();
       }
     }
@@ -181,8 +181,8 @@
       if (commands.size() >= MAX_COMMANDS) {
         return;
       }
-      if (forgettable(a)) {
-        commands.add(Command.forget(a.task, a.number));
+      if (isReapable(a)) {
+        commands.add(Command.reap(a.task, a.number));
       }
     }
   }
@@ -193,19 +193,19 @@
    * the attempt has ended will not start it when the lost copy arrives.
    */
   private void launch(Attempt a, List<Command> commands, List<Attempt> launches, boolean direct) {
-    if (!launchDue(a)) {
+    if (!isLaunchDue(a)) {
       return;
     }
-    if (!direct && a.machine.failedCommands > 0 && a.inFlight == 0) {
+    if (!direct && a.machine.failedCommands > 0 && a.launchesInFlight == 0) {
       // The worker reaches this node, perhaps through a peer, and cannot be reached: the answers
       // to its reports carry launches.
-      a.sent = true;
+      a.launchSent = true;
       a.deliveryUnknown = true;
     }
-    if (direct ? a.inFlight > 0 : !a.deliveryUnknown) {
+    if (direct ? a.launchesInFlight > 0 : !a.deliveryUnknown) {
       return;
     }
-    commands.add(Command.start(a.task, a.number));
+    commands.add(Command.launch(a.task, a.number));
     launches.add(a);
     if (a.stopping) {
       commands.add(Command.stop(a.task, a.number, 0));
@@ -213,8 +213,9 @@
   }
 
   /** Whether the worker may forget an exited attempt: it cannot start anew, and its end is kept. */
-  private boolean forgettable(Attempt a) {
+  private boolean isReapable(Attempt a) {
     Job job = cluster.job(a.task.job());
-    return !a.launchMayArrive() && (!a.done || job == null || job.saved.get(a.task.index()));
+    return !a.launchMayArrive()
+        && (!a.done || job == null || job.savedFinishedTasks.get(a.task.index()));
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Dependencies.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -16,7 +16,7 @@
  * cancelled with whom, and which priority counts. Knows nothing of tasks, machines or the state
  * service.
  */
-public final class Dependencies {
+public final class DependencyGraph {
 
   private static final class Entry {
     final Priority own;
@@ -69,14 +69,14 @@
   }
 
   /** How a job ended; kept as long as an open job needs it. */
-  public void ended(String job, boolean done, long atMs) {
+  public void jobEnded(String job, boolean done, long atMs) {
     if (needers.containsKey(job)) {
       ends.putIfAbsent(job, new End(done, atMs));
     }
   }
 
   /** Whether all jobs that it needs are known to be done. */
-  public boolean ready(String job) {
+  public boolean isReady(String job) {
     Entry entry = open.get(job);
     return entry == null
         || entry.needs.stream()
@@ -96,19 +96,19 @@
   }
 
   /** Open jobs that need the job, directly. */
-  public Collection<String> neededBy(String job) {
+  public Collection<String> dependents(String job) {
     return new ArrayList<>(needers.getOrDefault(job, Set.of()));
   }
 
   /** Jobs that are needed, are not open, and of which it is not known how they ended. */
-  public List<String> unknown() {
+  public List<String> unresolved() {
     return needers.keySet().stream()
         .filter(job -> !open.containsKey(job) && !ends.containsKey(job))
         .toList();
   }
 
   /** Open jobs that are cancelled, since a job that they need is, directly or through others. */
-  public List<String> cancelled() {
+  public List<String> cancelledJobs() {
     Set<String> all = new LinkedHashSet<>();
     ArrayDeque<String> todo = new ArrayDeque<>();
     ends.forEach(
@@ -132,7 +132,7 @@
    * directly or through others. In one pass over the graph; empty when nothing has changed since
    * the last.
    */
-  public Map<String, Priority> newPriorities() {
+  public Map<String, Priority> updatedPriorities() {
     Map<String, Priority> all = new HashMap<>();
     if (stale) {
       stale = false;
@@ -169,7 +169,7 @@
   }
 
   /** How many open jobs wait for others. */
-  public long waiting() {
-    return open.keySet().stream().filter(job -> !ready(job)).count();
+  public long waitingCount() {
+    return open.keySet().stream().filter(job -> !isReady(job)).count();
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Reports.java
+++ b/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.MachineType;
-import org.saffronshore.wire.Report;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -15,90 +15,94 @@
  * What a worker's report says, brought into the cluster: sessions, tasks that run, tasks that are
  * over and why.
  */
-final class Reports {
-  private static final Logger LOG = LoggerFactory.getLogger(Reports.class);
+final class HeartbeatReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
   /** A job that failed on this many machines in a row is itself at fault. */
   private static final int BAD_JOB_MACHINES = 3;
 
   /** Exits that say that the machine did not start the task. */
-  private static final Set<Report.Why> REFUSED =
-      EnumSet.of(Report.Why.NO_ROOM, Report.Why.BUSY, Report.Why.UNKNOWN);
+  private static final Set<Heartbeat.ExitReason> REFUSED =
+      EnumSet.of(
+          Heartbeat.ExitReason.INSUFFICIENT_RESOURCES,
+          Heartbeat.ExitReason.ALREADY_RUNNING,
+          Heartbeat.ExitReason.UNKNOWN_TASK);
 
   private final Cluster cluster;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
 
-  Reports(Cluster cluster, Loop loop, Settings settings) {
+  HeartbeatReconciler(Cluster cluster, EventLoop loop, Settings settings) {
     this.cluster = cluster;
     this.loop = loop;
     this.settings = settings;
   }
 
   /** Takes a report that the worker sent by itself, and that is going to be answered with 200. */
-  Machine reported(Report r) {
+  Machine heartbeatReceived(Heartbeat r) {
     if (cluster.isRemoved(r.machine())) {
       return null;
     }
-    Machine m = cluster.known(r.machine());
+    Machine m = cluster.getOrCreate(r.machine());
     double now = loop.now();
-    if (Double.isNaN(m.firstAnsweredAt)) {
-      m.firstAnsweredAt = now;
+    if (Double.isNaN(m.firstLeaseRenewalAt)) {
+      m.firstLeaseRenewalAt = now;
     }
-    m.answeredBefore = m.answeredAt;
+    m.previousLeaseRenewalAt = m.leaseRenewedAt;
     // What is older than the newest message was sent before that one came. So however late it is,
     // and whether it
     // is a copy or not, our answer renews the lease for no longer than from then on: copies do not
     // hold for ever.
-    m.answeredAt = r.newerThan(m.session, m.seq) ? now : Math.max(m.answeredAt, m.heardAt);
+    m.leaseRenewedAt =
+        r.isNewerThan(m.epoch, m.sequence) ? now : Math.max(m.leaseRenewedAt, m.lastHeardAt);
     m.type = r.type();
     m.zone = r.zone();
     m.spot = r.spot();
     MachineTable.setAddress(m, r.address());
-    if (r.session() > m.deadSession && r.newerThan(m.reportSession, m.reportSeq)) {
-      m.reportSession = r.session();
-      m.reportSeq = r.seq();
-      m.ownReportAt = now;
+    if (r.epoch() > m.lastExpiredEpoch && r.isNewerThan(m.heartbeatEpoch, m.heartbeatSequence)) {
+      m.heartbeatEpoch = r.epoch();
+      m.heartbeatSequence = r.sequence();
+      m.lastHeartbeatAt = now;
     }
     apply(m, r);
     return m;
   }
 
   /** Takes the report in a worker's answer to a direct command, which renews no lease. */
-  void answered(Machine m, Report r) {
+  void directStatusReceived(Machine m, Heartbeat r) {
     if (cluster.machine(m.id) == m) {
       // A worker that reaches no controller still answers calls. That does not make it one to rely
       // on: its lease
       // runs out. So only the first answer counts, of a machine that is about to find this leader.
-      if (m.ownReportAt == Double.NEGATIVE_INFINITY) {
-        m.ownReportAt = loop.now();
+      if (m.lastHeartbeatAt == Double.NEGATIVE_INFINITY) {
+        m.lastHeartbeatAt = loop.now();
       }
       apply(m, r);
     }
   }
 
-  private void apply(Machine m, Report r) {
-    if (r.session() <= m.deadSession || !r.newerThan(m.session, m.seq)) {
+  private void apply(Machine m, Heartbeat r) {
+    if (r.epoch() <= m.lastExpiredEpoch || !r.isNewerThan(m.epoch, m.sequence)) {
       return;
     }
-    if (r.session() > m.session) {
-      beginSession(m, r.session());
+    if (r.epoch() > m.epoch) {
+      beginSession(m, r.epoch());
     }
-    m.seq = r.seq();
-    m.heardAt = loop.now();
+    m.sequence = r.sequence();
+    m.lastHeardAt = loop.now();
     if (!m.up) {
       markUp(m);
     }
     boolean noticedNow = noticed(m, r);
-    boolean confirmedNow = !m.confirmed && r.token() >= cluster.term();
+    boolean confirmedNow = !m.reconciled && r.fencingToken() >= cluster.term();
     if (confirmedNow) {
       cluster.unresponsiveMachines().markResponsive(m);
     }
-    if ((m.confirmed || confirmedNow) && !m.registered) {
-      cluster.registry().enter(m);
+    if ((m.reconciled || confirmedNow) && !m.registered) {
+      cluster.registry().register(m);
     }
     // Most reports say nothing new, and there are hundreds in a second.
-    if (confirmedNow || noticedNow || !r.tasks().equals(m.applied)) {
+    if (confirmedNow || noticedNow || !r.tasks().equals(m.lastAppliedTasks)) {
       applyNews(m, r, noticedNow, confirmedNow);
     }
     if (cluster.hasCommands(m)) {
@@ -106,24 +110,24 @@
     }
   }
 
-  private void applyNews(Machine m, Report r, boolean noticedNow, boolean confirmedNow) {
+  private void applyNews(Machine m, Heartbeat r, boolean noticedNow, boolean confirmedNow) {
     applyTasks(m, r);
     if (noticedNow) {
-      cluster.drain(m, r.noticeS());
+      cluster.handlePreemptionNotice(m, r.preemptionNoticeS());
     }
     if (confirmedNow) {
       LOG.debug(
           "machine {} is accounted for: token={} session={} sequence={} tasks={}",
           m.id,
-          r.token(),
-          r.session(),
-          r.seq(),
+          r.fencingToken(),
+          r.epoch(),
+          r.sequence(),
           r.tasks());
-      m.confirmed = true;
-      cluster.unconfirmed().remove(m);
-      cluster.changed();
+      m.reconciled = true;
+      cluster.unreconciled().remove(m);
+      cluster.markChanged();
     }
-    if (m.confirmed) {
+    if (m.reconciled) {
       stopDuplicates(m);
     }
     if (m.attempts.isEmpty() != Double.isFinite(m.idleSince)) {
@@ -134,7 +138,7 @@
   /** Everything that the machine held in an earlier session is gone. */
   private void beginSession(Machine m, long session) {
     double now = loop.now();
-    if (m.session > 0 && !m.attempts.isEmpty()) {
+    if (m.epoch > 0 && !m.attempts.isEmpty()) {
       LOG.debug(
           "machine {} began session {}: what it held is gone: {}",
           m.id,
@@ -143,17 +147,17 @@
     }
     m.allAttempts().forEach(cluster::endAttempt);
     m.exited.clear();
-    m.changed();
+    m.invalidateView();
     // Its lease ran out although its reports were answered: it may receive nothing.
-    if (m.session > 0
-        && now < m.answeredBefore + Settings.shortestLocalTime(settings.leaseS())
+    if (m.epoch > 0
+        && now < m.previousLeaseRenewalAt + Settings.minLocalDuration(settings.workerLeaseS())
         && !m.unresponsive) {
       cluster.unresponsiveMachines().markUnresponsive(m);
     }
-    m.session = session;
+    m.epoch = session;
     // Whatever the machine was told last, a session that is new here may have begun a moment ago,
     // with a lease of its own from then on.
-    m.answeredAt = Math.max(m.answeredAt, now);
+    m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
   }
 
   private void markUp(Machine m) {
@@ -161,7 +165,7 @@
     m.up = true;
     m.upAt = Double.isNaN(m.upAt) ? now : m.upAt;
     m.idleSince = now;
-    cluster.changed();
+    cluster.markChanged();
     LOG.debug(
         "machine {} is up after {} s ({} in {}, spot {})",
         m.id,
@@ -172,59 +176,59 @@
   }
 
   /** Takes a notice that the cloud will take the machine back; true when it is the first one. */
-  private boolean noticed(Machine m, Report r) {
-    if (r.noticeS() == null) {
+  private boolean noticed(Machine m, Heartbeat r) {
+    if (r.preemptionNoticeS() == null) {
       return false;
     }
-    boolean first = !m.noticed();
+    boolean first = !m.hasPreemptionNotice();
     if (first) {
-      LOG.debug("machine {} is to be taken back in {} s", m.id, r.noticeS());
-      cluster.changed();
+      LOG.debug("machine {} is to be taken back in {} s", m.id, r.preemptionNoticeS());
+      cluster.markChanged();
     }
-    m.noticeUntil = loop.now() + r.noticeS();
+    m.preemptionAt = loop.now() + r.preemptionNoticeS();
     return first;
   }
 
-  private void applyTasks(Machine m, Report r) {
-    m.host = null;
+  private void applyTasks(Machine m, Heartbeat r) {
+    m.cachedView = null;
     Set<TaskId> seen = new HashSet<>();
-    for (Report.Task t : r.tasks()) {
+    for (Heartbeat.TaskStatus t : r.tasks()) {
       seen.add(t.task());
       apply(m, t);
     }
     for (Attempt a : m.allAttempts()) {
-      if (!seen.contains(a.task) && a.state != Attempt.State.SENDING) {
+      if (!seen.contains(a.task) && a.state != Attempt.State.LAUNCHING) {
         cluster.endAttempt(a);
       }
     }
     m.exited.values().removeIf(a -> !seen.contains(a.task) && !a.launchMayArrive());
-    m.applied = r.tasks();
+    m.lastAppliedTasks = r.tasks();
   }
 
-  private void apply(Machine m, Report.Task t) {
+  private void apply(Machine m, Heartbeat.TaskStatus t) {
     Job known = cluster.job(t.task().job());
     Job job = known != null && t.task().index() < known.spec.tasks() ? known : null;
     Attempt a = m.attempts.get(t.task());
     if (a == null || a.number != t.attempt()) {
       Attempt old = m.exited.get(t.task());
-      if (old != null && old.number == t.attempt() && t.state() == Report.State.EXITED) {
+      if (old != null && old.number == t.attempt() && t.state() == Heartbeat.TaskState.EXITED) {
         return;
       }
       a = new Attempt(t.task(), t.attempt(), m, job == null ? null : job.spec, loop.now());
-      if (t.state() == Report.State.EXITED) {
-        exited(a, t.why(), job);
+      if (t.state() == Heartbeat.TaskState.EXITED) {
+        exited(a, t.exitReason(), job);
         return;
       }
       adopt(a, job);
     }
-    if (a.state == Attempt.State.SENDING) {
+    if (a.state == Attempt.State.LAUNCHING) {
       cluster.unresponsiveMachines().markResponsive(m);
     }
     switch (t.state()) {
-      case FETCHING -> a.state = Attempt.State.FETCHING;
+      case PULLING_IMAGE -> a.state = Attempt.State.PULLING_IMAGE;
       case RUNNING -> running(a, known);
-      case SAVING -> a.state = Attempt.State.SAVING;
-      default -> exited(a, t.why(), job);
+      case CHECKPOINTING -> a.state = Attempt.State.CHECKPOINTING;
+      default -> exited(a, t.exitReason(), job);
     }
   }
 
@@ -232,10 +236,10 @@
     if (a.state == Attempt.State.RUNNING) {
       return;
     }
-    a.fromStart = a.number >> Cluster.TERM_SHIFT == cluster.term();
+    a.observedFromStart = a.number >> Cluster.TERM_SHIFT == cluster.term();
     a.state = Attempt.State.RUNNING;
     if (job != null) {
-      job.begun = true;
+      job.hasStarted = true;
     }
     a.runningSince = loop.now();
     useImage(a.machine, a);
@@ -244,7 +248,7 @@
   void useImage(Machine m, Attempt a) {
     MachineType type = cluster.typeOf(m);
     if (a.job != null && type != null) {
-      m.usesImage(a.job.image(), a.job.imageGb(), type.cacheGb());
+      m.recordImageUse(a.job.image(), a.job.imageGb(), type.cacheGb());
     }
   }
 
@@ -253,17 +257,17 @@
    */
   private void adopt(Attempt a, Job job) {
     Attempt other = a.machine.attempts.put(a.task, a);
-    a.machine.changed();
-    a.sent = true;
+    a.machine.invalidateView();
+    a.launchSent = true;
     if (job == null) {
       cluster.stop(a, 0, "its job is over");
       return;
     }
-    job.enter(a);
+    job.addAttempt(a);
     if (other != null) {
-      job.leave(other);
+      job.removeAttempt(other);
     }
-    if (job.done.get(a.task.index())) {
+    if (job.finishedTasks.get(a.task.index())) {
       cluster.stop(a, 0, "it is done already");
     }
   }
@@ -275,14 +279,14 @@
   private void stopDuplicates(Machine m) {
     for (Attempt a : m.allAttempts()) {
       Job job = cluster.job(a.task.job());
-      if (job == null || job.others.isEmpty()) {
+      if (job == null || job.duplicateAttempts.isEmpty()) {
         continue;
       }
       Attempt placed = job.placed.get(a.task.index());
       for (Attempt o : job.attemptsAt(a.task.index())) {
         if (o != placed
-            && o.machine.confirmed
-            && placed.machine.confirmed
+            && o.machine.reconciled
+            && placed.machine.reconciled
             && !o.stopping
             && !placed.stopping) {
           LOG.warn(
@@ -296,33 +300,33 @@
     }
   }
 
-  private void exited(Attempt a, Report.Why why, Job job) {
+  private void exited(Attempt a, Heartbeat.ExitReason why, Job job) {
     Machine m = a.machine;
     boolean wasStopping = a.stopping;
     boolean mine = m.attempts.get(a.task) == a;
     a.state = Attempt.State.EXITED;
     m.exited.put(a.task, a);
-    cluster.changed();
-    if (job != null && why == Report.Why.DONE) {
+    cluster.markChanged();
+    if (job != null && why == Heartbeat.ExitReason.COMPLETED) {
       done(a, job);
     }
     cluster.endAttempt(a);
-    if (mine && why == Report.Why.ERROR && !wasStopping && job != null) {
+    if (mine && why == Heartbeat.ExitReason.FAILED && !wasStopping && job != null) {
       failure(m, job, a);
     } else if (mine && REFUSED.contains(why)) {
       LOG.debug("machine {} refused task {}: {}", m.id, a.task, why);
-      m.suspendedUntil = loop.now() + settings.reportS();
+      m.backoffUntil = loop.now() + settings.heartbeatIntervalS();
     }
   }
 
   private void done(Attempt a, Job job) {
     int index = a.task.index();
     a.done = true;
-    cluster.runs().learn(a, loop.now());
-    if (!job.done.get(index)) {
-      job.done.set(index);
-      job.waiting.clear(index);
-      (job.complete() ? cluster.complete() : cluster.unsaved()).add(job);
+    cluster.runtimeEstimator().learn(a, loop.now());
+    if (!job.finishedTasks.get(index)) {
+      job.finishedTasks.set(index);
+      job.waitingTasks.clear(index);
+      (job.isComplete() ? cluster.completedJobs() : cluster.jobsWithUnsavedTasks()).add(job);
       for (Attempt other : job.attemptsAt(index)) {
         if (other != a) {
           cluster.stop(other, 0, "it is done already");
@@ -330,7 +334,7 @@
       }
     }
     job.failedOn.clear();
-    job.backOffs = 0;
+    job.backoffCount = 0;
     a.machine.consecutiveFailures = 0;
   }
 
@@ -341,15 +345,17 @@
   private void failure(Machine m, Job job, Attempt a) {
     job.failedOn.add(m.id);
     if (job.failedOn.size() >= BAD_JOB_MACHINES) {
-      job.backOffs = Math.min(job.backOffs + 1, 6);
+      job.backoffCount = Math.min(job.backoffCount + 1, 6);
       // Never for long: it may have been the machines after all, and their trouble may be over.
-      job.backOffUntil =
-          loop.now() + Math.min(settings.leaseS(), settings.reportS() * (1 << job.backOffs));
+      job.backoffUntil =
+          loop.now()
+              + Math.min(
+                  settings.workerLeaseS(), settings.heartbeatIntervalS() * (1 << job.backoffCount));
       LOG.info("job {} failed on {} machines: backing off", job.spec.id(), job.failedOn.size());
       return;
     }
     m.consecutiveFailures++;
-    m.suspendedUntil = loop.now() + settings.reportS() * 2 * m.consecutiveFailures;
+    m.backoffUntil = loop.now() + settings.heartbeatIntervalS() * 2 * m.consecutiveFailures;
     LOG.debug(
         "task {} failed on {}; failures there in a row: {}", a.task, m.id, m.consecutiveFailures);
   }
--- a/src/main/java/org/saffronshore/cluster/Job.java
+++ b/src/main/java/org/saffronshore/cluster/Job.java
@@ -19,27 +19,27 @@
   boolean ready = true;
 
   /** When the last of them was done, at a time of day. */
-  long readyMs;
+  long readyAtMs;
 
   /** Version of the job's key: it is set once, so this is also when the job was accepted. */
   final long version;
 
-  final long submittedMs;
-  final BitSet done;
+  final long submittedAtMs;
+  final BitSet finishedTasks;
 
   /** Finished tasks that the state service knows of. */
-  final BitSet saved;
+  final BitSet savedFinishedTasks;
 
-  final BitSet waiting = new BitSet();
+  final BitSet waitingTasks = new BitSet();
 
   /** No task from this one on was launched before this term. */
-  final int inheritedLaunchMark;
+  final int inheritedLaunchWatermark;
 
   /** Tasks below this one may be launched: the state service knows that they may have been. */
-  int launchMark;
+  int launchWatermark;
 
   /** The same once what is asked for now is written down. */
-  int wantedLaunchMark;
+  int requestedLaunchWatermark;
 
   final Map<Integer, Attempt> placed = new HashMap<>();
 
@@ -48,29 +48,29 @@
    * confirmed may show what is not there any more, so a task may seem to be in two places; it may
    * run in either.
    */
-  final List<Attempt> others = new ArrayList<>(0);
+  final List<Attempt> duplicateAttempts = new ArrayList<>(0);
 
   /** Whether any task of it was seen to run. */
-  boolean begun;
+  boolean hasStarted;
 
   /** Machines on which a task of this job failed, since the last time one succeeded. */
   final Set<String> failedOn = new HashSet<>();
 
-  double backOffUntil = Double.NEGATIVE_INFINITY;
-  int backOffs;
-  boolean saving;
+  double backoffUntil = Double.NEGATIVE_INFINITY;
+  int backoffCount;
+  boolean outcomeWriteInFlight;
 
   Job(JobSpec spec, long version, long submittedMs, BitSet done, int launchMark) {
     this.spec = spec;
     this.version = version;
-    this.submittedMs = submittedMs;
-    this.done = done;
-    this.inheritedLaunchMark = launchMark;
-    this.launchMark = launchMark;
-    this.wantedLaunchMark = launchMark;
-    this.saved = (BitSet) done.clone();
-    waiting.set(0, spec.tasks());
-    waiting.andNot(done);
+    this.submittedAtMs = submittedMs;
+    this.finishedTasks = done;
+    this.inheritedLaunchWatermark = launchMark;
+    this.launchWatermark = launchMark;
+    this.requestedLaunchWatermark = launchMark;
+    this.savedFinishedTasks = (BitSet) done.clone();
+    waitingTasks.set(0, spec.tasks());
+    waitingTasks.andNot(done);
   }
 
   /** All attempts at a task that may be somewhere. */
@@ -79,7 +79,7 @@
     if (placed.containsKey(index)) {
       all.add(placed.get(index));
     }
-    for (Attempt a : others) {
+    for (Attempt a : duplicateAttempts) {
       if (a.task.index() == index) {
         all.add(a);
       }
@@ -88,55 +88,55 @@
   }
 
   /** One more attempt at a task is, or may be, somewhere. */
-  void enter(Attempt a) {
+  void addAttempt(Attempt a) {
     if (placed.putIfAbsent(a.task.index(), a) != null) {
-      others.add(a);
+      duplicateAttempts.add(a);
     }
-    waiting.clear(a.task.index());
+    waitingTasks.clear(a.task.index());
   }
 
   /**
    * The attempt is nowhere any more. The task waits again only when no other attempt at it may be
    * somewhere.
    */
-  void leave(Attempt a) {
+  void removeAttempt(Attempt a) {
     int index = a.task.index();
-    if (!others.remove(a) && placed.get(index) == a) {
+    if (!duplicateAttempts.remove(a) && placed.get(index) == a) {
       placed.remove(index);
       List<Attempt> left = attemptsAt(index);
       if (!left.isEmpty()) {
-        others.remove(left.get(0));
+        duplicateAttempts.remove(left.get(0));
         placed.put(index, left.get(0));
-      } else if (!done.get(index)) {
-        waiting.set(index);
+      } else if (!finishedTasks.get(index)) {
+        waitingTasks.set(index);
       }
     }
   }
 
   /** Whether a task may be launched, or whether it must first be written down that it may be. */
-  boolean launchable(int index) {
-    return index < launchMark;
+  boolean isLaunchable(int index) {
+    return index < launchWatermark;
   }
 
   /**
    * Asks for the reach that a task needs; twice what there is at the least, so that a job needs few
    * writes.
    */
-  void requestLaunchMark(int index) {
-    if (index >= wantedLaunchMark) {
-      wantedLaunchMark = Math.min(spec.tasks(), Math.max(index + 1, 2 * launchMark));
+  void requestLaunchWatermark(int index) {
+    if (index >= requestedLaunchWatermark) {
+      requestedLaunchWatermark = Math.min(spec.tasks(), Math.max(index + 1, 2 * launchWatermark));
     }
   }
 
   /** How far it is to be written down that its tasks may have been launched. */
-  public int wantedLaunchMark() {
-    return wantedLaunchMark;
+  public int requestedLaunchWatermark() {
+    return requestedLaunchWatermark;
   }
 
   /** Waiting tasks that an earlier leader may have launched. */
-  BitSet launchedBefore() {
-    BitSet all = (BitSet) waiting.clone();
-    all.clear(Math.min(inheritedLaunchMark, spec.tasks()), spec.tasks());
+  BitSet waitingTasksLaunchedBefore() {
+    BitSet all = (BitSet) waitingTasks.clone();
+    all.clear(Math.min(inheritedLaunchWatermark, spec.tasks()), spec.tasks());
     return all;
   }
 
@@ -144,34 +144,36 @@
    * Tasks that an earlier leader may have launched and that no machine accounted for has shown.
    * What another machine's report shows may be over, and the task may be elsewhere by now.
    */
-  BitSet launchedUnconfirmed() {
+  BitSet launchedOnUnreconciled() {
     BitSet all = new BitSet();
-    all.set(0, Math.min(inheritedLaunchMark, spec.tasks()));
-    all.andNot(done);
+    all.set(0, Math.min(inheritedLaunchWatermark, spec.tasks()));
+    all.andNot(finishedTasks);
     placed.values().stream()
-        .filter(a -> a.machine.confirmed)
+        .filter(a -> a.machine.reconciled)
+        .forEach(a -> all.clear(a.task.index()));
+    duplicateAttempts.stream()
+        .filter(a -> a.machine.reconciled)
         .forEach(a -> all.clear(a.task.index()));
-    others.stream().filter(a -> a.machine.confirmed).forEach(a -> all.clear(a.task.index()));
     return all;
   }
 
   /**
    * For how long its tasks could have run, at a time of day: not while it waited for other jobs.
    */
-  public double waitedS(long wallMs) {
-    return ready ? (wallMs - Math.max(submittedMs, readyMs)) / 1000.0 : 0;
+  public double waitingTimeS(long wallMs) {
+    return ready ? (wallMs - Math.max(submittedAtMs, readyAtMs)) / 1000.0 : 0;
   }
 
   /** From now on another priority counts, for its tasks that are on machines too. */
   void reprioritize(Priority priority) {
-    spec = spec.at(priority);
+    spec = spec.withPriority(priority);
     for (Attempt a : placed.values()) {
       a.job = spec;
-      a.machine.changed();
+      a.machine.invalidateView();
     }
-    for (Attempt a : others) {
+    for (Attempt a : duplicateAttempts) {
       a.job = spec;
-      a.machine.changed();
+      a.machine.invalidateView();
     }
   }
 
@@ -183,35 +185,35 @@
     return version;
   }
 
-  public BitSet doneTasks() {
-    return done;
+  public BitSet finishedTasks() {
+    return finishedTasks;
   }
 
-  public BitSet savedTasks() {
-    return saved;
+  public BitSet savedFinishedTasks() {
+    return savedFinishedTasks;
   }
 
-  public boolean saving() {
-    return saving;
+  public boolean outcomeWriteInFlight() {
+    return outcomeWriteInFlight;
   }
 
-  public void saving(boolean now) {
-    saving = now;
+  public void outcomeWriteInFlight(boolean now) {
+    outcomeWriteInFlight = now;
   }
 
-  public boolean complete() {
-    return done.cardinality() == spec.tasks();
+  public boolean isComplete() {
+    return finishedTasks.cardinality() == spec.tasks();
   }
 
-  public boolean unsaved() {
-    return !done.equals(saved);
+  public boolean hasUnsavedTasks() {
+    return !finishedTasks.equals(savedFinishedTasks);
   }
 
   /** How many tasks run or are saving. */
-  public int running() {
+  public int runningTaskCount() {
     int running = 0;
     for (Attempt a : placed.values()) {
-      if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.SAVING) {
+      if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.CHECKPOINTING) {
         running++;
       }
     }
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -6,8 +6,8 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import org.saffronshore.fleet.Arrivals;
-import org.saffronshore.http.Loop;
+import org.saffronshore.fleet.ArrivalStatistics;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.wire.JobSpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,8 +19,8 @@
 public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
-  private final Loop loop;
-  private final Arrivals arrivals;
+  private final EventLoop loop;
+  private final ArrivalStatistics arrivals;
 
   /** Version of the leader's key: jobs accepted later cannot have been started by anyone else. */
   private final long termVersion;
@@ -29,12 +29,12 @@
   private final Runnable onChange;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Dependencies dependencies = new Dependencies();
-  private final Set<Job> unsaved = new LinkedHashSet<>();
-  private final Set<Job> complete = new LinkedHashSet<>();
-  private final Set<Job> awaitingLaunchMark = new LinkedHashSet<>();
+  private final DependencyGraph dependencies = new DependencyGraph();
+  private final Set<Job> unsavedJobs = new LinkedHashSet<>();
+  private final Set<Job> completedJobs = new LinkedHashSet<>();
+  private final Set<Job> awaitingLaunchWatermark = new LinkedHashSet<>();
 
-  JobTable(Loop loop, Arrivals arrivals, long termVersion, Runnable onChange) {
+  JobTable(EventLoop loop, ArrivalStatistics arrivals, long termVersion, Runnable onChange) {
     this.loop = loop;
     this.arrivals = arrivals;
     this.termVersion = termVersion;
@@ -50,7 +50,7 @@
   }
 
   /** Whether the job was accepted before this term began, and may thus have been launched. */
-  boolean olderThanTerm(Job job) {
+  boolean isOlderThanTerm(Job job) {
     return job.version < termVersion;
   }
 
@@ -67,42 +67,42 @@
     jobs.put(spec.id(), job);
     dependencies.add(spec.id(), spec.priority(), spec.dependencies());
     if (spec.dependencies().isEmpty()) {
-      arrivals.saw(spec, version > termVersion, loop.now());
+      arrivals.jobArrived(spec, version > termVersion, loop.now());
     } else {
       job.ready = false;
       updateReadiness(job);
     }
     updatePriorities();
-    if (job.complete()) {
-      complete.add(job);
+    if (job.isComplete()) {
+      completedJobs.add(job);
     }
     onChange.run();
   }
 
   /** Which open jobs need which others. */
-  Dependencies dependencies() {
+  DependencyGraph dependencies() {
     return dependencies;
   }
 
   /** How a job ended that others may need: some of them may be ready by that. */
-  void ended(String id, boolean done, long atMs) {
-    dependencies.ended(id, done, atMs);
-    dependencies.neededBy(id).forEach(needer -> updateReadiness(jobs.get(needer)));
+  void jobEnded(String id, boolean done, long atMs) {
+    dependencies.jobEnded(id, done, atMs);
+    dependencies.dependents(id).forEach(needer -> updateReadiness(jobs.get(needer)));
   }
 
   private void updateReadiness(Job job) {
-    if (!job.ready && dependencies.ready(job.spec.id())) {
+    if (!job.ready && dependencies.isReady(job.spec.id())) {
       LOG.debug("job {} is ready: all that it needs is done", job.spec.id());
       job.ready = true;
-      job.readyMs = dependencies.readyAtMs(job.spec.id());
-      arrivals.saw(job.spec, job.version > termVersion, loop.now());
+      job.readyAtMs = dependencies.readyAtMs(job.spec.id());
+      arrivals.jobArrived(job.spec, job.version > termVersion, loop.now());
       onChange.run();
     }
   }
 
   private void updatePriorities() {
     dependencies
-        .newPriorities()
+        .updatedPriorities()
         .forEach(
             (id, priority) -> {
               Job job = jobs.get(id);
@@ -121,42 +121,42 @@
     }
     dependencies.remove(id);
     updatePriorities();
-    unsaved.remove(job);
-    complete.remove(job);
-    awaitingLaunchMark.remove(job);
+    unsavedJobs.remove(job);
+    completedJobs.remove(job);
+    awaitingLaunchWatermark.remove(job);
     return job;
   }
 
   /**
    * Marks finished tasks as known to the state service; their attempts need not be kept any more.
    */
-  void saved(Job job, BitSet tasks) {
-    job.saved.or(tasks);
-    if (!job.unsaved()) {
-      unsaved.remove(job);
+  void finishedTasksSaved(Job job, BitSet tasks) {
+    job.savedFinishedTasks.or(tasks);
+    if (!job.hasUnsavedTasks()) {
+      unsavedJobs.remove(job);
     }
   }
 
   /** Jobs with finished tasks that the state service does not know of yet. */
-  Set<Job> unsaved() {
-    return unsaved;
+  Set<Job> unsavedJobs() {
+    return unsavedJobs;
   }
 
   /** Jobs with tasks that are placed, and go out once it is written down that they may have. */
-  Set<Job> awaitingLaunchMark() {
-    return awaitingLaunchMark;
+  Set<Job> awaitingLaunchWatermark() {
+    return awaitingLaunchWatermark;
   }
 
   /** The state service knows that tasks of the job up to this one may have been launched. */
-  void launchMarkSaved(Job job, int launchMark) {
-    job.launchMark = Math.max(job.launchMark, launchMark);
-    if (job.launchMark >= job.wantedLaunchMark) {
-      awaitingLaunchMark.remove(job);
+  void launchWatermarkSaved(Job job, int launchMark) {
+    job.launchWatermark = Math.max(job.launchWatermark, launchMark);
+    if (job.launchWatermark >= job.requestedLaunchWatermark) {
+      awaitingLaunchWatermark.remove(job);
     }
   }
 
   /** Open jobs whose tasks are all finished. */
-  Set<Job> complete() {
-    return complete;
+  Set<Job> completedJobs() {
+    return completedJobs;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import org.saffronshore.config.Settings.Address;
 import org.saffronshore.fleet.MachineKind;
-import org.saffronshore.scheduling.Host;
+import org.saffronshore.scheduling.MachineView;
+import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.JobSpec;
-import org.saffronshore.wire.Report;
 import org.saffronshore.wire.TaskId;
 
 /** A rented machine as the leader knows it. */
@@ -30,33 +30,33 @@
    * Whether its worker has shown that it knows this leader's token, which shuts earlier leaders
    * out.
    */
-  boolean confirmed;
+  boolean reconciled;
 
-  long session;
-  long seq = -1;
+  long epoch;
+  long sequence = -1;
 
   /** The same of the newest report that the worker sent by itself. */
-  long reportSession;
+  long heartbeatEpoch;
 
-  long reportSeq = -1;
+  long heartbeatSequence = -1;
 
   /** Sessions up to this one are over: what they still say is ignored. */
-  long deadSession = -1;
+  long lastExpiredEpoch = -1;
 
   /** The last moment at which the worker may have been told that its lease is renewed. */
-  double answeredAt;
+  double leaseRenewedAt;
 
   /** The same before the report that is being taken. */
-  double answeredBefore = Double.NEGATIVE_INFINITY;
+  double previousLeaseRenewalAt = Double.NEGATIVE_INFINITY;
 
-  double firstAnsweredAt = Double.NaN;
-  double heardAt = Double.NEGATIVE_INFINITY;
+  double firstLeaseRenewalAt = Double.NaN;
+  double lastHeardAt = Double.NEGATIVE_INFINITY;
 
   /**
    * From when its silence counts: its last own report, its first answer, or when this node could
    * hear again after a standstill.
    */
-  double ownReportAt = Double.NEGATIVE_INFINITY;
+  double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
 
   /** Its reports come, but nothing that it is told seems to arrive. */
   boolean unresponsive;
@@ -64,12 +64,12 @@
   double unresponsiveSince;
 
   /** When the machine was first known to exist. */
-  double knownSince;
+  double existsSince;
 
   double rentedAt;
   double upAt = Double.NaN;
   double idleSince;
-  double noticeUntil = Double.NaN;
+  double preemptionAt = Double.NaN;
   boolean failed;
   boolean returning;
 
@@ -79,17 +79,17 @@
   boolean registered;
 
   /** The registry says, or is to say, what it holds: it gets nothing new. */
-  boolean frozen;
+  boolean cordoned;
 
   /** All that an earlier leader can have left on it, or null when that may be anything. */
-  Set<TaskId> held;
+  Set<TaskId> possibleTasks;
 
   /** What those among them take whose jobs were called off in this term. */
-  final Map<TaskId, JobSpec> heldOfEnded = new HashMap<>();
+  final Map<TaskId, JobSpec> possibleTasksOfEndedJobs = new HashMap<>();
 
   boolean registryWriteInFlight;
   int consecutiveFailures;
-  double suspendedUntil = Double.NEGATIVE_INFINITY;
+  double backoffUntil = Double.NEGATIVE_INFINITY;
   boolean commandInFlight;
   int failedCommands;
   double nextCommandAt = Double.NEGATIVE_INFINITY;
@@ -99,10 +99,10 @@
   final Map<TaskId, Attempt> exited = new LinkedHashMap<>();
 
   /** What the cycle sees of it; null when something that it shows has changed. */
-  Host host;
+  MachineView cachedView;
 
   /** The tasks of the last report, as long as nothing else has happened to them since. */
-  List<Report.Task> applied;
+  List<Heartbeat.TaskStatus> lastAppliedTasks;
 
   private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
@@ -112,7 +112,7 @@
   Machine(String id, double silentAfterS, double now) {
     this.id = id;
     this.silentAfterS = silentAfterS;
-    this.knownSince = now;
+    this.existsSince = now;
     this.rentedAt = now;
     this.idleSince = now;
   }
@@ -133,7 +133,7 @@
     return zone;
   }
 
-  public boolean spot() {
+  public boolean isSpot() {
     return spot;
   }
 
@@ -141,23 +141,23 @@
     return address;
   }
 
-  public boolean up() {
+  public boolean isUp() {
     return up;
   }
 
-  public boolean confirmed() {
-    return confirmed;
+  public boolean isReconciled() {
+    return reconciled;
   }
 
-  public boolean returning() {
+  public boolean isReturning() {
     return returning;
   }
 
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
-  public int count() {
+  public int taskCount() {
     return attempts.size();
   }
 
@@ -165,16 +165,16 @@
     return attempts.values().stream().mapToDouble(a -> a.job == null ? 0 : a.job.cpus()).sum();
   }
 
-  public boolean failed() {
+  public boolean hasFailed() {
     return failed;
   }
 
   /** Whether it failed too many tasks in a row to be given more. */
-  public boolean distrusted() {
+  public boolean isQuarantined() {
     return consecutiveFailures >= Cluster.MAX_CONSECUTIVE_FAILURES;
   }
 
-  public boolean everUp() {
+  public boolean wasEverUp() {
     return !Double.isNaN(upAt);
   }
 
@@ -186,47 +186,47 @@
     return idleSince;
   }
 
-  public boolean noticed() {
-    return !Double.isNaN(noticeUntil);
+  public boolean hasPreemptionNotice() {
+    return !Double.isNaN(preemptionAt);
   }
 
   public Iterable<Attempt> attempts() {
     return attempts.values();
   }
 
-  public boolean empty() {
+  public boolean isEmpty() {
     return attempts.isEmpty();
   }
 
   /** Whether new tasks may be put here. */
-  public boolean usable(double now) {
+  public boolean isSchedulable(double now) {
     return up
-        && confirmed
+        && reconciled
         && registered
         && !returning
         && !draining
         && !failed
-        && !noticed()
-        && !distrusted()
-        && now >= suspendedUntil
-        && !silent(now)
+        && !hasPreemptionNotice()
+        && !isQuarantined()
+        && now >= backoffUntil
+        && !isSilent(now)
         && !unresponsive
-        && !unknownLoad();
+        && !hasUnknownTasks();
   }
 
   /** Whether the machine can be counted on for later: it works, stays, and is heard. */
-  boolean reliable(double now) {
-    boolean leaving = failed || returning || noticed();
-    boolean faulty = distrusted() || unresponsive || up && !confirmed && silent(now);
+  boolean isReliable(double now) {
+    boolean leaving = failed || returning || hasPreemptionNotice();
+    boolean faulty = isQuarantined() || unresponsive || up && !reconciled && isSilent(now);
     return !leaving && !faulty;
   }
 
   /** Whether reports that were due have not come: it may hang, or be cut off. */
-  boolean silent(double now) {
-    return now > ownReportAt + silentAfterS;
+  boolean isSilent(double now) {
+    return now > lastHeartbeatAt + silentAfterS;
   }
 
-  private boolean unknownLoad() {
+  private boolean hasUnknownTasks() {
     for (Attempt a : attempts.values()) {
       if (a.job == null) {
         return true;
@@ -236,7 +236,7 @@
   }
 
   /** Whether a task may not be put here, since a trace of it is still on the machine. */
-  boolean barred(TaskId task) {
+  boolean hasTraceOf(TaskId task) {
     return attempts.containsKey(task) || exited.containsKey(task);
   }
 
@@ -244,7 +244,7 @@
     return images.keySet();
   }
 
-  void usesImage(String image, double gb, double cacheGb) {
+  void recordImageUse(String image, double gb, double cacheGb) {
     images.put(image, gb);
     double sum = 0;
     for (double size : images.values()) {
@@ -261,15 +261,16 @@
   }
 
   /** What was known of its tasks has changed other than by a report. */
-  void changed() {
-    host = null;
-    applied = null;
+  void invalidateView() {
+    cachedView = null;
+    lastAppliedTasks = null;
   }
 
   /** Whether an earlier leader can have left one of these tasks of a job here. */
-  boolean mayHold(Job job, BitSet tasks) {
+  boolean mayHoldAny(Job job, BitSet tasks) {
     String id = job.spec.id();
-    return held == null || held.stream().anyMatch(t -> t.job().equals(id) && tasks.get(t.index()));
+    return possibleTasks == null
+        || possibleTasks.stream().anyMatch(t -> t.job().equals(id) && tasks.get(t.index()));
   }
 
   /**
@@ -277,14 +278,14 @@
    * that are done.
    */
   void jobEnded(Job job) {
-    if (held == null) {
+    if (possibleTasks == null) {
       return;
     }
     String id = job.spec.id();
-    held.removeIf(task -> task.job().equals(id) && job.done.get(task.index()));
-    for (TaskId task : held) {
+    possibleTasks.removeIf(task -> task.job().equals(id) && job.finishedTasks.get(task.index()));
+    for (TaskId task : possibleTasks) {
       if (task.job().equals(id)) {
-        heldOfEnded.put(task, job.spec);
+        possibleTasksOfEndedJobs.put(task, job.spec);
       }
     }
   }
--- a/src/main/java/org/saffronshore/cluster/MachineRegistry.java
+++ b/src/main/java/org/saffronshore/cluster/MachineRegistry.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 
 /**
  * What is to be written down about machines for the next leader. A machine gets tasks only while it
@@ -12,75 +12,75 @@
  */
 public final class MachineRegistry {
   private final Cluster cluster;
-  private final Loop loop;
-  private final Set<Machine> missing = new LinkedHashSet<>();
-  private final Set<Machine> toFreeze = new LinkedHashSet<>();
-  private final Set<String> left = new LinkedHashSet<>();
+  private final EventLoop loop;
+  private final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
+  private final Set<Machine> toCordon = new LinkedHashSet<>();
+  private final Set<String> removedMachines = new LinkedHashSet<>();
 
-  MachineRegistry(Cluster cluster, Loop loop) {
+  MachineRegistry(Cluster cluster, EventLoop loop) {
     this.cluster = cluster;
     this.loop = loop;
   }
 
   /** The machine is ready for tasks but for its place. */
-  void enter(Machine m) {
-    m.frozen = false;
-    missing.add(m);
+  void register(Machine m) {
+    m.cordoned = false;
+    unregisteredMachines.add(m);
   }
 
-  void removed(Machine m) {
+  void machineRemoved(Machine m) {
     if (m.registered || m.registryWriteInFlight) {
-      left.add(m.id);
+      removedMachines.add(m.id);
     }
   }
 
   /** Whether there is anything to be written. */
-  public boolean due() {
-    return !missing.isEmpty() || !left.isEmpty() || !toFreeze.isEmpty();
+  public boolean hasPendingWrites() {
+    return !unregisteredMachines.isEmpty() || !removedMachines.isEmpty() || !toCordon.isEmpty();
   }
 
   /** Machines that are gone for good: no later leader needs to account for them. */
-  public Set<String> left() {
-    return left;
+  public Set<String> removedMachines() {
+    return removedMachines;
   }
 
   /**
    * Gives machines whose reports have stopped nothing more, so that what they hold can be written
    * down.
    */
-  public void freezeSilent() {
+  public void cordonSilent() {
     double now = loop.now();
     for (Machine m : cluster.machines()) {
-      if (m.up && m.confirmed && m.registered && m.silent(now)) {
+      if (m.up && m.reconciled && m.registered && m.isSilent(now)) {
         m.registered = false;
-        m.frozen = true;
+        m.cordoned = true;
         m.registryWriteInFlight = true;
-        toFreeze.add(m);
+        toCordon.add(m);
       }
     }
   }
 
   /** Machines of which it is to be written down what they hold. */
-  public List<Machine> takeFrozenMachines() {
+  public List<Machine> takeCordonedMachines() {
     List<Machine> all =
-        toFreeze.stream().filter(m -> m.frozen && cluster.machine(m.id) == m).toList();
-    toFreeze.clear();
+        toCordon.stream().filter(m -> m.cordoned && cluster.machine(m.id) == m).toList();
+    toCordon.clear();
     return all;
   }
 
   /** Machines that are ready for tasks but for their place. */
-  public List<Machine> missing() {
-    missing.removeIf(m -> cluster.machine(m.id) != m);
-    missing.forEach(m -> m.registryWriteInFlight = true);
-    return new ArrayList<>(missing);
+  public List<Machine> unregisteredMachines() {
+    unregisteredMachines.removeIf(m -> cluster.machine(m.id) != m);
+    unregisteredMachines.forEach(m -> m.registryWriteInFlight = true);
+    return new ArrayList<>(unregisteredMachines);
   }
 
   /** The state service has confirmed their places. */
-  public void entered(List<Machine> added) {
+  public void markRegistered(List<Machine> added) {
     for (Machine m : added) {
       m.registered = true;
-      missing.remove(m);
+      unregisteredMachines.remove(m);
     }
-    cluster.changed();
+    cluster.markChanged();
   }
 }
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.saffronshore.config.Settings;
 import org.saffronshore.config.Settings.Address;
-import org.saffronshore.http.Loop;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,24 +29,24 @@
   private static final double GONE_LEASES = 20;
 
   private final Cluster cluster;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** Since when machines are gone; the longest ago first. */
-  private final Map<String, Double> removed = new LinkedHashMap<>();
+  private final Map<String, Double> removedAt = new LinkedHashMap<>();
 
   /** Machines that may hold tasks of earlier terms and have not been heard in this one. */
-  private final Set<Machine> unconfirmed = new LinkedHashSet<>();
+  private final Set<Machine> unreconciled = new LinkedHashSet<>();
 
   /** This node has not stood still since then. */
-  private double awakeSince;
+  private double resumedAt;
 
-  MachineTable(Cluster cluster, Loop loop, Settings settings) {
+  MachineTable(Cluster cluster, EventLoop loop, Settings settings) {
     this.cluster = cluster;
     this.loop = loop;
     this.settings = settings;
-    this.awakeSince = loop.now();
+    this.resumedAt = loop.now();
   }
 
   Collection<Machine> all() {
@@ -58,16 +58,16 @@
   }
 
   boolean isRemoved(String id) {
-    return removed.containsKey(id);
+    return removedAt.containsKey(id);
   }
 
-  Set<Machine> unconfirmed() {
-    return unconfirmed;
+  Set<Machine> unreconciled() {
+    return unreconciled;
   }
 
-  Machine known(String id) {
+  Machine getOrCreate(String id) {
     return machines.computeIfAbsent(
-        id, m -> new Machine(m, MISSED_REPORTS * settings.reportS(), loop.now()));
+        id, m -> new Machine(m, MISSED_REPORTS * settings.heartbeatIntervalS(), loop.now()));
   }
 
   /**
@@ -77,30 +77,30 @@
    * @param held all that it can hold, or null when that may be anything
    */
   void addRegistered(String id, double ageS, Set<TaskId> held) {
-    Machine m = known(id);
+    Machine m = getOrCreate(id);
     m.registered = held == null;
-    m.frozen = held != null;
+    m.cordoned = held != null;
     m.registryWriteInFlight = true;
-    m.held = held == null ? null : new HashSet<>(held);
-    m.knownSince = Math.min(m.knownSince, loop.now() - Math.max(0, ageS));
+    m.possibleTasks = held == null ? null : new HashSet<>(held);
+    m.existsSince = Math.min(m.existsSince, loop.now() - Math.max(0, ageS));
     LOG.debug(
         "machine {} is registered since {} s, and holds at most: {}",
         id,
         Math.round(ageS),
         held == null ? "anything" : held);
-    if (!m.confirmed) {
-      m.answeredAt = Math.max(m.answeredAt, cluster.startedAt());
-      unconfirmed.add(m);
+    if (!m.reconciled) {
+      m.leaseRenewedAt = Math.max(m.leaseRenewedAt, cluster.startedAt());
+      unreconciled.add(m);
       cluster.commandsDue(m);
     }
   }
 
   /** The cloud has answered a rental request with this machine. */
-  void rented(String id, String type, String zone, boolean spot, double requestedAt) {
-    if (removed.containsKey(id)) {
+  void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
+    if (removedAt.containsKey(id)) {
       return;
     }
-    Machine m = known(id);
+    Machine m = getOrCreate(id);
     m.type = type;
     m.zone = zone;
     m.spot = spot;
@@ -108,7 +108,7 @@
   }
 
   /** One line of the cloud's list. */
-  void listed(
+  void machineListed(
       String id,
       String address,
       String type,
@@ -116,12 +116,12 @@
       boolean spot,
       boolean failed,
       double ageS) {
-    if (removed.containsKey(id)) {
+    if (removedAt.containsKey(id)) {
       return;
     }
     Machine m = machines.get(id);
     if (m == null) {
-      m = known(id);
+      m = getOrCreate(id);
       m.rentedAt = loop.now() - ageS;
       LOG.debug(
           "machine {} ({} in {}, spot {}) is in the cloud's list, and was not known",
@@ -134,7 +134,7 @@
     m.zone = zone;
     m.spot = spot;
     setAddress(m, address);
-    if (unconfirmed.contains(m) && !m.up) {
+    if (unreconciled.contains(m) && !m.up) {
       cluster.commandsDue(m);
     }
     if (failed && !m.failed) {
@@ -150,24 +150,28 @@
    * and older than the one before it, so only machines that were known well before the request can
    * be told to be gone.
    */
-  void listedOnly(Set<String> ids, double requestedAt) {
+  void removeUnlisted(Set<String> ids, double requestedAt) {
     double before =
-        requestedAt - Settings.longestLocalTime(2.25 * settings.listLagS() + settings.reportS());
+        requestedAt
+            - Settings.maxLocalDuration(
+                2.25 * settings.cloudListLagS() + settings.heartbeatIntervalS());
     for (Machine m : new ArrayList<>(machines.values())) {
-      if (!ids.contains(m.id) && m.knownSince < before) {
-        removed(m, "the cloud does not list it any more");
+      if (!ids.contains(m.id) && m.existsSince < before) {
+        machineRemoved(m, "the cloud does not list it any more");
       }
     }
   }
 
   /** The machine does not exist any more, and nothing on it. */
-  void removed(Machine m, String why) {
+  void machineRemoved(Machine m, String why) {
     LOG.debug("machine {} is gone: {}; it held {}", m.id, why, m.attempts.keySet());
     release(m);
     machines.remove(m.id);
-    removed.put(m.id, loop.now());
-    cluster.registry().removed(m);
-    removed.values().removeIf(since -> since < loop.now() - GONE_LEASES * settings.leaseS());
+    removedAt.put(m.id, loop.now());
+    cluster.registry().machineRemoved(m);
+    removedAt
+        .values()
+        .removeIf(since -> since < loop.now() - GONE_LEASES * settings.workerLeaseS());
   }
 
   private void release(Machine m) {
@@ -176,14 +180,14 @@
     }
     m.exited.clear();
     m.idleSince = loop.now();
-    unconfirmed.remove(m);
-    cluster.changed();
+    unreconciled.remove(m);
+    cluster.markChanged();
   }
 
   /** The cloud has been asked to take the machine back: nothing new may start there. */
-  void returning(Machine m) {
+  void markReturning(Machine m) {
     m.returning = true;
-    cluster.changed();
+    cluster.markChanged();
   }
 
   /**
@@ -192,17 +196,17 @@
   void expireLeases() {
     double now = loop.now();
     for (Machine m : machines.values()) {
-      boolean addPossiblyHeld = m.up || unconfirmed.contains(m);
+      boolean addPossiblyHeld = m.up || unreconciled.contains(m);
       if (addPossiblyHeld
           && now
-              > m.answeredAt
-                  + Settings.longestLocalTime(settings.leaseS())
-                  + settings.reportS() / 30) {
+              > m.leaseRenewedAt
+                  + Settings.maxLocalDuration(settings.workerLeaseS())
+                  + settings.heartbeatIntervalS() / 30) {
         LOG.debug(
             "machine {} counts as lost: nothing heard, and its lease is over; it held {}",
             m.id,
             m.attempts.keySet());
-        m.deadSession = Math.max(m.deadSession, m.session);
+        m.lastExpiredEpoch = Math.max(m.lastExpiredEpoch, m.epoch);
         m.up = false;
         release(m);
       }
@@ -214,23 +218,23 @@
    * would be taken for silent or deaf at once. Leases run on, since they count from what the
    * machines were told.
    */
-  void stoodStill() {
-    awakeSince = loop.now();
-    machines.values().forEach(m -> m.ownReportAt = awakeSince);
+  void onProcessPause() {
+    resumedAt = loop.now();
+    machines.values().forEach(m -> m.lastHeartbeatAt = resumedAt);
   }
 
-  double awakeSince() {
-    return awakeSince;
+  double resumedAt() {
+    return resumedAt;
   }
 
   /** Whether most machines that are up have not been heard for a while. */
-  boolean mostlySilent(double forS) {
+  boolean isMostlySilent(double forS) {
     int up = 0;
     int silent = 0;
     for (Machine m : machines.values()) {
       if (m.up) {
         up++;
-        silent += loop.now() > m.ownReportAt + forS ? 1 : 0;
+        silent += loop.now() > m.lastHeartbeatAt + forS ? 1 : 0;
       }
     }
     return silent * 2 > up;
@@ -240,7 +244,7 @@
     if (m.address == null && address != null) {
       try {
         m.address = Address.parse("Address", address);
-      } catch (InvalidField e) {
+      } catch (InvalidFieldException e) {
         LOG.warn("machine {} has no usable address: {}", m.id, e.getMessage());
       }
     }
--- a/src/main/java/org/saffronshore/cluster/TeamUsage.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -28,7 +28,7 @@
  *   <li>a machine not accounted for that may hold anything counts for every team.
  * </ul>
  */
-final class TeamUsage {
+final class QuotaAccounting {
   private final Cluster cluster;
   private final Map<String, Team> teams;
   private final SchedulingSettings tuning;
@@ -47,7 +47,7 @@
   /** Tasks that are counted already; two records may name the same one. */
   private final Set<TaskId> listed = new HashSet<>();
 
-  private TeamUsage(Cluster cluster, Map<String, Team> teams, SchedulingSettings tuning) {
+  private QuotaAccounting(Cluster cluster, Map<String, Team> teams, SchedulingSettings tuning) {
     this.cluster = cluster;
     this.teams = teams;
     this.tuning = tuning;
@@ -55,9 +55,9 @@
 
   /** Counts into the teams, which nothing was counted into before. */
   static void count(Cluster cluster, Map<String, Team> teams, SchedulingSettings tuning) {
-    TeamUsage usage = new TeamUsage(cluster, teams, tuning);
+    QuotaAccounting usage = new QuotaAccounting(cluster, teams, tuning);
     cluster.machines().forEach(usage::addAttempts);
-    cluster.unconfirmed().forEach(usage::addUnaccounted);
+    cluster.unreconciled().forEach(usage::addUnaccounted);
     usage.addTotals();
   }
 
@@ -68,39 +68,39 @@
       Team team = a.job == null ? null : teams.get(a.job.team());
       if (team != null) {
         team.use(a.job, tuning);
-        if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.SAVING) {
+        if (a.state == Attempt.State.RUNNING || a.state == Attempt.State.CHECKPOINTING) {
           team.addRunning(a.job);
         }
       }
     }
     if (!allKnown) {
       Resources room = capacity(m);
-      m.attempts.values().stream().filter(a -> a.job != null).forEach(a -> room.take(a.job));
+      m.attempts.values().stream().filter(a -> a.job != null).forEach(a -> room.subtract(a.job));
       addUnknown(room);
     }
   }
 
   private void addUnaccounted(Machine m) {
     Resources room = capacity(m);
-    if (m.held == null) {
-      unlisted.give(room);
+    if (m.possibleTasks == null) {
+      unlisted.add(room);
       return;
     }
     boolean allKnown = true;
-    for (TaskId task : m.held) {
+    for (TaskId task : m.possibleTasks) {
       Job job = cluster.job(task.job());
-      JobSpec spec = job != null ? job.spec : m.heldOfEnded.get(task);
+      JobSpec spec = job != null ? job.spec : m.possibleTasksOfEndedJobs.get(task);
       if (spec == null) {
         allKnown = false;
         continue;
       }
-      room.take(spec);
+      room.subtract(spec);
       // One that is done, or seen on a machine, and that there only, is counted there if anywhere.
-      boolean mayBeHere = job == null || job.waiting.get(task.index());
+      boolean mayBeHere = job == null || job.waitingTasks.get(task.index());
       if (mayBeHere && listed.add(task)) {
         (job == null ? listedEnded : listedOpen)
             .computeIfAbsent(spec.team(), t -> new Resources(0, 0, 0))
-            .give(spec);
+            .add(spec);
       }
     }
     if (!allKnown) {
@@ -109,15 +109,16 @@
   }
 
   private void addUnknown(Resources room) {
-    unknown.give(new Resources(Math.max(0, room.cpus), Math.max(0, room.gpus), 0));
+    unknown.add(new Resources(Math.max(0, room.cpus), Math.max(0, room.gpus), 0));
   }
 
   /** All that a machine has; of one whose type is not known, more than any type has. */
   private Resources capacity(Machine m) {
     MachineType type = cluster.typeOf(m);
     Resources all = new Resources(0, 0, 0);
-    for (MachineType t : type != null ? List.of(type) : List.copyOf(cluster.types().values())) {
-      all.give(Resources.of(t));
+    for (MachineType t :
+        type != null ? List.of(type) : List.copyOf(cluster.machineTypes().values())) {
+      all.add(Resources.capacityOf(t));
     }
     return all;
   }
@@ -149,11 +150,13 @@
     listed.forEach(task -> listedOfJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
     for (Job job : cluster.jobs()) {
-      if (cluster.mayBeUnseen(job)) {
-        int more = job.launchedBefore().cardinality() - listedOfJob.getOrDefault(job.spec.id(), 0);
+      if (cluster.mayRunOnUnreconciled(job)) {
+        int more =
+            job.waitingTasksLaunchedBefore().cardinality()
+                - listedOfJob.getOrDefault(job.spec.id(), 0);
         launched
             .computeIfAbsent(job.spec.team(), t -> new Resources(0, 0, 0))
-            .give(job.spec, Math.max(0, more));
+            .add(job.spec, Math.max(0, more));
       }
     }
     return launched;
--- a/src/main/java/org/saffronshore/cluster/RunTimes.java
+++ b/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
@@ -8,7 +8,7 @@
  * How long tasks are expected to run: the owners' estimates, corrected by what was seen in this
  * term.
  */
-final class RunTimes {
+final class RuntimeEstimator {
   /** Owners' estimates are trusted until about this much running time of a class was seen. */
   private static final double PRIOR_RUNS_S = 200;
 
@@ -17,8 +17,8 @@
    */
   private final Map<String, double[]> seenRuns = new HashMap<>();
 
-  double remainingS(Attempt a, double now) {
-    double whole = lastsS(a.job);
+  double remainingRuntimeS(Attempt a, double now) {
+    double whole = expectedRuntimeS(a.job);
     double spent = Double.isNaN(a.runningSince) ? 0 : now - a.runningSince;
     // A task that outlasts its estimate is as likely as not to go on for a good part of it.
     return Math.max(whole - spent, whole / 5);
@@ -28,18 +28,18 @@
    * How long a task of a job is expected to run: the owner's estimate, corrected by what its class
    * was seen to take.
    */
-  public double lastsS(JobSpec job) {
+  public double expectedRuntimeS(JobSpec job) {
     double[] seen = seenRuns.get(job.jobClass());
-    return job.estimateS()
+    return job.estimatedRuntimeS()
         * (seen == null ? 1 : (seen[0] + PRIOR_RUNS_S) / (seen[1] + PRIOR_RUNS_S));
   }
 
   /** A task came to its end: what it took says something of others of its class. */
   void learn(Attempt a, double now) {
-    if (a.job != null && !Double.isNaN(a.runningSince) && a.fromStart) {
+    if (a.job != null && !Double.isNaN(a.runningSince) && a.observedFromStart) {
       double[] seen = seenRuns.computeIfAbsent(a.job.jobClass(), c -> new double[2]);
       seen[0] += now - a.runningSince;
-      seen[1] += a.job.estimateS();
+      seen[1] += a.job.estimatedRuntimeS();
     }
   }
 }
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -1,7 +1,7 @@
 package org.saffronshore.cluster;
 
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,10 +16,10 @@
   private static final double UNRESPONSIVE_SHARE = 0.05;
 
   private final Cluster cluster;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
 
-  UnresponsiveMachineDetector(Cluster cluster, Loop loop, Settings settings) {
+  UnresponsiveMachineDetector(Cluster cluster, EventLoop loop, Settings settings) {
     this.cluster = cluster;
     this.loop = loop;
     this.settings = settings;
@@ -36,17 +36,17 @@
    */
   public void detect() {
     double now = loop.now();
-    double patience = UNRESPONSIVE_REPORTS * settings.reportS();
+    double patience = UNRESPONSIVE_REPORTS * settings.heartbeatIntervalS();
     for (Machine m : cluster.machines()) {
-      if (!m.up || m.unresponsive || m.silent(now)) {
+      if (!m.up || m.unresponsive || m.isSilent(now)) {
         continue;
       }
-      boolean unconfirmedTooLong = !m.confirmed && since(m.firstAnsweredAt) > patience;
+      boolean unconfirmedTooLong = !m.reconciled && since(m.firstLeaseRenewalAt) > patience;
       if (unconfirmedTooLong
           || m.attempts.values().stream()
               .anyMatch(
                   a ->
-                      a.state == Attempt.State.SENDING
+                      a.state == Attempt.State.LAUNCHING
                           && a.deliveryUnknown
                           && since(a.placedAt) > patience)) {
         markUnresponsive(m);
@@ -59,15 +59,15 @@
    * still.
    */
   private double since(double moment) {
-    return loop.now() - Math.max(moment, cluster.awakeSince());
+    return loop.now() - Math.max(moment, cluster.resumedAt());
   }
 
   void markUnresponsive(Machine m) {
     LOG.debug("machine {} does not seem to receive commands", m.id);
     m.unresponsive = true;
     m.unresponsiveSince = loop.now();
-    m.changed();
-    cluster.changed();
+    m.invalidateView();
+    cluster.markChanged();
     cluster.commandsDue(m);
   }
 
@@ -75,7 +75,7 @@
   void markResponsive(Machine m) {
     if (m.unresponsive) {
       m.unresponsive = false;
-      cluster.changed();
+      cluster.markChanged();
     }
   }
 
@@ -84,7 +84,7 @@
    * then it is we who cannot be heard, and the machines are not to blame.
    */
   public boolean isUnusable(Machine m) {
-    if (!m.unresponsive || since(m.unresponsiveSince) < 2 * settings.reportS()) {
+    if (!m.unresponsive || since(m.unresponsiveSince) < 2 * settings.heartbeatIntervalS()) {
       return false;
     }
     long unresponsive = cluster.machines().stream().filter(other -> other.unresponsive).count();
--- a/src/main/java/org/saffronshore/config/Settings.java
+++ b/src/main/java/org/saffronshore/config/Settings.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.saffronshore.wire.Fields;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.FieldReader;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
@@ -14,38 +14,38 @@
  *
  * @param laterStateRps what the state service will take from some moment on, without notice; as now
  *     if nothing is said
- * @param valueKb how long a value may be, now and later
- * @param txnOps how many changes a transaction may have, now and later
+ * @param maxValueKb how long a value may be, now and later
+ * @param maxTransactionWrites how many changes a transaction may have, now and later
  */
 public record Settings(
     String node,
     String zone,
-    Address listen,
-    Address peerListen,
+    Address listenAddress,
+    Address peerListenAddress,
     List<Peer> peers,
-    Address cloud,
-    Address state,
+    Address cloudAddress,
+    Address stateServiceAddress,
     List<String> zones,
-    Map<String, Team> teams,
+    Map<String, TeamQuota> teams,
     List<Objective> objectives,
-    double reportS,
-    double leaseS,
-    double cancelS,
-    double stateRps,
-    double stateWriteRps,
-    double nextStateRps,
-    double nextStateWriteRps,
-    double valueKb,
-    int txnOps,
-    double cloudRps,
-    double listLagS,
+    double heartbeatIntervalS,
+    double workerLeaseS,
+    double cancellationDeadlineS,
+    double stateRequestsPerS,
+    double stateWritesPerS,
+    double nextStateRequestsPerS,
+    double nextStateWritesPerS,
+    double maxValueKb,
+    int maxTransactionWrites,
+    double cloudRequestsPerS,
+    double cloudListLagS,
     double cpuShare,
     double memoryMb,
-    int sockets,
-    double clockOffS) {
+    int maxSockets,
+    double maxClockOffsetS) {
 
   /** The steady clocks of two machines may run apart by this share of the time that passes. */
-  public static final double DRIFT = 0.0005;
+  public static final double MAX_CLOCK_DRIFT = 0.0005;
 
   private static final double MAX = 1e9;
   private static final int MAX_TXN_OPS = 1_000_000;
@@ -53,7 +53,7 @@
   /** A TCP address. */
   public record Address(String host, int port) {
     /** Reads an address of the form host:port. */
-    public static Address parse(String field, String text) throws InvalidField {
+    public static Address parse(String field, String text) throws InvalidFieldException {
       int colon = text.lastIndexOf(':');
       try {
         if (colon > 0) {
@@ -65,7 +65,7 @@
       } catch (NumberFormatException e) {
         // Falls through to the one message for every ill-formed address.
       }
-      throw new InvalidField(field, "must be an address such as 10.0.0.1:8080");
+      throw new InvalidFieldException(field, "must be an address such as 10.0.0.1:8080");
     }
 
     @Override
@@ -78,46 +78,49 @@
   public record Peer(String node, String zone, Address address) {}
 
   /** A team's guarantee and limit; a limit of 0 means none. */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record TeamQuota(
+      String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
   /** An aim of the users; {@code jobClass} is null where it concerns every class. */
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
 
   /** Controllers of this deployment, this one included. */
-  public int controllers() {
+  public int controllerCount() {
     return peers.size() + 1;
   }
 
   /**
    * The longest that a time of ours, measured on another machine's clock, can last on this one's.
    */
-  public static double longestLocalTime(double seconds) {
-    return seconds * (1 + 2 * DRIFT);
+  public static double maxLocalDuration(double seconds) {
+    return seconds * (1 + 2 * MAX_CLOCK_DRIFT);
   }
 
   /**
    * The shortest that a time of ours, measured on another machine's clock, can last on this one's.
    */
-  public static double shortestLocalTime(double seconds) {
-    return seconds * (1 - 2 * DRIFT);
+  public static double minLocalDuration(double seconds) {
+    return seconds * (1 - 2 * MAX_CLOCK_DRIFT);
   }
 
   /** Reads the platform's settings file; a failure names the field. */
-  public static Settings parse(JsonNode root) throws InvalidField {
-    Fields f = Fields.of(root, "");
-    Fields services = f.object("services");
-    Fields cluster = f.object("cluster");
-    Fields workers = cluster.object("workers");
-    Fields state = cluster.object("state");
-    Fields next =
-        state.has("next") ? state.object("next") : new Fields(Json.object(), "cluster.state.next");
+  public static Settings parse(JsonNode root) throws InvalidFieldException {
+    FieldReader f = FieldReader.of(root, "");
+    FieldReader services = f.object("services");
+    FieldReader cluster = f.object("cluster");
+    FieldReader workers = cluster.object("workers");
+    FieldReader state = cluster.object("state");
+    FieldReader next =
+        state.has("next")
+            ? state.object("next")
+            : new FieldReader(Json.object(), "cluster.state.next");
     double rps = state.number("rps", 1, MAX);
     double writeRps = state.number("write_rps", 1, MAX);
     double valueKb = state.number("value_kb", 1, MAX);
     int txnOps = (int) state.count("txn_ops", 2, MAX_TXN_OPS);
-    Fields cloud = cluster.object("cloud");
-    Fields limits = cluster.object("limits");
+    FieldReader cloud = cluster.object("cloud");
+    FieldReader limits = cluster.object("limits");
     List<String> zones = cluster.textsOrNull("zones");
     return new Settings(
         f.text("node"),
@@ -149,36 +152,36 @@
         cluster.number("clock_off_ms", 0, MAX, MAX) / 1000);
   }
 
-  private static List<Peer> peers(Fields root) throws InvalidField {
+  private static List<Peer> peers(FieldReader root) throws InvalidFieldException {
     List<Peer> peers = new ArrayList<>();
-    for (Fields p : root.objects("peers")) {
+    for (FieldReader p : root.objects("peers")) {
       Address address = Address.parse(p.path() + ".addr", p.text("addr"));
       peers.add(new Peer(p.text("node"), p.textOrNull("area"), address));
     }
     return List.copyOf(peers);
   }
 
-  private static Map<String, Team> teams(Fields cluster) throws InvalidField {
-    Map<String, Team> teams = new LinkedHashMap<>();
-    for (Fields t : cluster.objects("teams")) {
-      Team team =
-          new Team(
+  private static Map<String, TeamQuota> teams(FieldReader cluster) throws InvalidFieldException {
+    Map<String, TeamQuota> teams = new LinkedHashMap<>();
+    for (FieldReader t : cluster.objects("teams")) {
+      TeamQuota team =
+          new TeamQuota(
               t.text("name"),
               t.number("cpus", 0, MAX, 0),
               t.number("cpus_max", 0, MAX, 0),
               t.number("gpus", 0, MAX, 0),
               t.number("gpus_max", 0, MAX, 0));
       if (teams.put(team.name(), team) != null) {
-        throw new InvalidField(t.path() + ".name", "is there twice");
+        throw new InvalidFieldException(t.path() + ".name", "is there twice");
       }
     }
     return teams;
   }
 
-  private static List<Objective> objectives(Fields cluster) throws InvalidField {
+  private static List<Objective> objectives(FieldReader cluster) throws InvalidFieldException {
     List<Objective> objectives = new ArrayList<>();
     if (cluster.has("objectives")) {
-      for (Fields o : cluster.objects("objectives")) {
+      for (FieldReader o : cluster.objects("objectives")) {
         objectives.add(
             new Objective(
                 o.text("kind"),
--- a/src/main/java/org/saffronshore/control/Autoscaler.java
+++ b/src/main/java/org/saffronshore/control/Autoscaler.java
@@ -17,11 +17,11 @@
 import org.saffronshore.fleet.DisplacedTasks;
 import org.saffronshore.fleet.Forecast;
 import org.saffronshore.fleet.MachineKind;
-import org.saffronshore.fleet.RentalPlan;
-import org.saffronshore.http.Loop;
+import org.saffronshore.fleet.ScaleOutPlan;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
-import org.saffronshore.scheduling.Plan;
 import org.saffronshore.scheduling.Resources;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 import org.slf4j.Logger;
@@ -56,7 +56,7 @@
     double pause;
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final CloudClient cloud;
   private final Metrics metrics;
@@ -64,15 +64,15 @@
   private final Cluster cluster;
   private final MachineListPoller machineList;
   private final Consolidation consolidation;
-  private final MachineReturner returner;
+  private final ScaleIn returner;
   private final Map<String, Order> orders = new LinkedHashMap<>();
   private final Map<MachineKind, Refusal> refusals = new HashMap<>();
-  private List<Plan.UnplacedTasks> unplaced = List.of();
+  private List<SchedulingPlan.UnplacedTasks> unplaced = List.of();
   private double rentAgainAt = Double.NEGATIVE_INFINITY;
   private long lastName;
 
   Autoscaler(
-      Loop loop,
+      EventLoop loop,
       Settings settings,
       CloudClient cloud,
       Metrics metrics,
@@ -86,19 +86,19 @@
     this.cluster = cluster;
     this.machineList = new MachineListPoller(loop, cloud, term, cluster);
     this.consolidation = new Consolidation(loop, cluster);
-    this.returner =
-        new MachineReturner(loop, settings, cloud, metrics, term, cluster, refusals::remove);
+    this.returner = new ScaleIn(loop, settings, cloud, metrics, term, cluster, refusals::remove);
   }
 
   void start() {
-    machineList.read();
+    machineList.poll();
     term.repeatWhileActive(
-        Math.max(settings.reportS(), 2 / settings.cloudRps()), machineList::read);
-    term.repeatWhileActive(settings.reportS() / 3, this::reconcile);
+        Math.max(settings.heartbeatIntervalS(), 2 / settings.cloudRequestsPerS()),
+        machineList::poll);
+    term.repeatWhileActive(settings.heartbeatIntervalS() / 3, this::reconcile);
   }
 
   /** What the last cycle found no place for. */
-  void wanted(List<Plan.UnplacedTasks> nowUnmet) {
+  void tasksUnplaced(List<SchedulingPlan.UnplacedTasks> nowUnmet) {
     unplaced = nowUnmet;
     rent();
   }
@@ -107,10 +107,10 @@
     if (!term.isLoaded()) {
       return;
     }
-    returner.run();
+    returner.returnUnneeded();
     rent();
     if (unplaced.isEmpty()) {
-      consolidation.run();
+      consolidation.drainUnderused();
     }
   }
 
@@ -124,7 +124,7 @@
     return term.isActive()
         && term.isLoaded()
         && machineList.complete()
-        && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.listLagS());
+        && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.cloudListLagS());
   }
 
   private void rent() {
@@ -134,28 +134,30 @@
     }
     Map<String, Integer> perZone = new HashMap<>();
     for (Machine m : cluster.machines()) {
-      if (m.zone() != null && !m.failed() && !m.returning()) {
+      if (m.zone() != null && !m.hasFailed() && !m.isReturning()) {
         perZone.merge(m.zone(), 1, Integer::sum);
       }
     }
     orders.values().forEach(o -> perZone.merge(o.kind.zone(), o.count, Integer::sum));
-    List<Plan.UnplacedTasks> late =
-        Forecast.late(lines(true), unplaced, cluster::lastsS, job -> now + boot(job));
-    RentalPlan.orders(cluster.types(), late, perZone, kind -> available(kind, now))
+    List<SchedulingPlan.UnplacedTasks> late =
+        Forecast.late(lines(true), unplaced, cluster::expectedRuntimeS, job -> now + boot(job));
+    ScaleOutPlan.orders(cluster.machineTypes(), late, perZone, kind -> available(kind, now))
         .forEach(this::order);
     rentForExpectedArrivals(perZone, now);
     rentForDisplacedTasks(late, perZone, now);
     double took = loop.now() - now;
-    rentAgainAt = loop.now() + Math.max(settings.reportS() / 12, took / RENT_SHARE);
+    rentAgainAt = loop.now() + Math.max(settings.heartbeatIntervalS() / 12, took / RENT_SHARE);
   }
 
   /** Machines that are up, coming or asked for. */
-  private List<Forecast.Line> lines(boolean released) {
-    List<Forecast.Line> lines = cluster.views().lines(LATE_BOOT, released);
+  private List<Forecast.MachineTimeline> lines(boolean released) {
+    List<Forecast.MachineTimeline> lines = cluster.view().machineTimelines(LATE_BOOT, released);
     for (Order o : orders.values()) {
-      MachineType type = cluster.types().get(o.kind.type());
+      MachineType type = cluster.machineTypes().get(o.kind.type());
       for (int i = 0; i < o.count && type != null; i++) {
-        lines.add(new Forecast.Line(o.kind, Resources.of(type), o.askedAt + type.bootS()));
+        lines.add(
+            new Forecast.MachineTimeline(
+                o.kind, Resources.capacityOf(type), o.askedAt + type.bootS()));
       }
     }
     return lines;
@@ -166,41 +168,41 @@
    * on.
    */
   private void rentForDisplacedTasks(
-      List<Plan.UnplacedTasks> late, Map<String, Integer> perZone, double now) {
+      List<SchedulingPlan.UnplacedTasks> late, Map<String, Integer> perZone, double now) {
     Set<String> scarce = new HashSet<>();
     double dearest = 0;
-    for (MachineType type : cluster.types().values()) {
+    for (MachineType type : cluster.machineTypes().values()) {
       if (type.zones().stream()
           .allMatch(
               zone ->
                   refusals.containsKey(new MachineKind(type.name(), zone, true))
                       && refusals.containsKey(new MachineKind(type.name(), zone, false)))) {
         scarce.add(type.name());
-        dearest = Math.max(dearest, type.price() / type.cpus());
+        dearest = Math.max(dearest, type.pricePerHour() / type.cpus());
       }
     }
-    if (scarce.isEmpty() || late.isEmpty() || scarce.size() == cluster.types().size()) {
+    if (scarce.isEmpty() || late.isEmpty() || scarce.size() == cluster.machineTypes().size()) {
       return;
     }
     double limit = dearest;
-    List<Plan.UnplacedTasks> displaced =
-        DisplacedTasks.find(cluster.types(), scarce, late, cluster.views().runningOn(scarce));
+    List<SchedulingPlan.UnplacedTasks> displaced =
+        DisplacedTasks.find(cluster.machineTypes(), scarce, late, cluster.view().runningOn(scarce));
     if (displaced.isEmpty()) {
       return;
     }
     // What is free on the others now, not what will be: their own like goes on coming, and takes
     // that.
-    List<Forecast.Line> others =
+    List<Forecast.MachineTimeline> others =
         lines(false).stream().filter(l -> !scarce.contains(l.kind().type())).toList();
-    List<Plan.UnplacedTasks> homeless =
-        Forecast.late(others, displaced, cluster::lastsS, job -> now + boot(job));
-    RentalPlan.orders(
-            cluster.types(),
+    List<SchedulingPlan.UnplacedTasks> homeless =
+        Forecast.late(others, displaced, cluster::expectedRuntimeS, job -> now + boot(job));
+    ScaleOutPlan.orders(
+            cluster.machineTypes(),
             homeless,
             perZone,
             kind -> {
-              MachineType type = cluster.types().get(kind.type());
-              double price = kind.spot() ? type.spotPrice() : type.price();
+              MachineType type = cluster.machineTypes().get(kind.type());
+              double price = kind.spot() ? type.spotPricePerHour() : type.pricePerHour();
               return !scarce.contains(kind.type())
                   && available(kind, now)
                   && price / type.cpus() <= limit;
@@ -213,7 +215,7 @@
    * then.
    */
   private int maxOrders() {
-    return (int) Math.max(2, 2 * settings.cloudRps());
+    return (int) Math.max(2, 2 * settings.cloudRequestsPerS());
   }
 
   /**
@@ -223,20 +225,21 @@
    * the waits are worth.
    */
   private void rentForExpectedArrivals(Map<String, Integer> perZone, double now) {
-    List<Plan.UnplacedTasks> queue = new ArrayList<>(unplaced);
-    queue.addAll(cluster.arrivals().within(boot(), now));
-    List<Plan.UnplacedTasks> late =
+    List<SchedulingPlan.UnplacedTasks> queue = new ArrayList<>(unplaced);
+    queue.addAll(cluster.arrivals().expectedTasks(boot(), now));
+    List<SchedulingPlan.UnplacedTasks> late =
         Forecast.late(
             lines(true),
             queue,
-            cluster::lastsS,
+            cluster::expectedRuntimeS,
             job -> now + boot(job) * (waitMinded(job) ? MINDED_WAIT : 1));
-    RentalPlan.orders(cluster.types(), late, perZone, kind -> kind.spot() && available(kind, now))
+    ScaleOutPlan.orders(
+            cluster.machineTypes(), late, perZone, kind -> kind.spot() && available(kind, now))
         .forEach(this::order);
     if (queueStands()) {
-      List<Plan.UnplacedTasks> beyond =
-          Forecast.late(lines(true), queue, cluster::lastsS, job -> now + boot(job));
-      RentalPlan.orders(cluster.types(), beyond, perZone, kind -> available(kind, now))
+      List<SchedulingPlan.UnplacedTasks> beyond =
+          Forecast.late(lines(true), queue, cluster::expectedRuntimeS, job -> now + boot(job));
+      ScaleOutPlan.orders(cluster.machineTypes(), beyond, perZone, kind -> available(kind, now))
           .forEach(this::order);
     }
   }
@@ -251,7 +254,7 @@
             u -> {
               Job job = cluster.job(u.job().id());
               return job != null
-                  && job.waitedS(loop.wallMs())
+                  && job.waitingTimeS(loop.wallClockMs())
                       > STANDING_WAIT * Math.max(boot(u.job()), wishedWaitS(u.job()));
             });
   }
@@ -271,12 +274,12 @@
   }
 
   private double boot() {
-    return cluster.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+    return cluster.machineTypes().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
   }
 
   /** How long the quickest machine for a job takes to be up. */
   private double boot(JobSpec job) {
-    return cluster.types().values().stream()
+    return cluster.machineTypes().values().stream()
         .filter(t -> t.fits(job))
         .mapToDouble(MachineType::bootS)
         .min()
@@ -291,12 +294,12 @@
   private void order(MachineKind kind, int count) {
     for (int left = count;
         left > 0 && orders.size() < maxOrders() && term.isActive();
-        left -= CloudClient.MAX_RENTED) {
+        left -= CloudClient.MAX_MACHINES_RENTED) {
       Order order =
           new Order(
               "r-" + term.number() + "-" + ++lastName,
               kind,
-              Math.min(left, CloudClient.MAX_RENTED),
+              Math.min(left, CloudClient.MAX_MACHINES_RENTED),
               loop.now());
       orders.put(order.name, order);
       ask(order);
@@ -304,14 +307,14 @@
   }
 
   private void ask(Order order) {
-    cloud.rent(order.name, order.kind, order.count, result -> answered(order, result));
+    cloud.rentMachines(order.name, order.kind, order.count, result -> answered(order, result));
   }
 
   private void answered(Order order, RentalResult result) {
     boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
     if (unknown && term.isActive()) {
       // It may have been carried out: only the same name again tells, and rents nothing twice.
-      loop.after(settings.reportS() / 3, () -> ask(order));
+      loop.schedule(settings.heartbeatIntervalS() / 3, () -> ask(order));
       return;
     }
     orders.remove(order.name);
@@ -331,9 +334,10 @@
 
   private void rented(Order order, List<String> names) {
     LOG.debug("rented {} of {} {}: tasks wait for room", names.size(), order.count, order.kind);
-    metrics.add(Metrics.Count.RENTED, names.size());
+    metrics.increment(Metrics.Counter.RENTED, names.size());
     for (String name : names) {
-      cluster.rented(name, order.kind.type(), order.kind.zone(), order.kind.spot(), order.askedAt);
+      cluster.machineRented(
+          name, order.kind.type(), order.kind.zone(), order.kind.spot(), order.askedAt);
     }
     if (names.size() < order.count) {
       refused(order.kind);
@@ -343,8 +347,8 @@
   }
 
   private void refused(MachineKind kind) {
-    MachineType type = cluster.types().get(kind.type());
-    double boot = type == null ? settings.leaseS() : type.bootS();
+    MachineType type = cluster.machineTypes().get(kind.type());
+    double boot = type == null ? settings.workerLeaseS() : type.bootS();
     Refusal r = refusals.computeIfAbsent(kind, k -> new Refusal());
     r.pause = Math.min(boot, Math.max(boot / 8, r.pause * 2));
     r.until = loop.now() + r.pause;
--- a/src/main/java/org/saffronshore/control/CancellationFreshness.java
+++ b/src/main/java/org/saffronshore/control/CancellationHorizon.java
@@ -16,20 +16,20 @@
  * live for one lease more. So no answer and no launch may be sent later than the moment known, plus
  * the time of a cancellation, less a lease.
  */
-final class CancellationFreshness {
+final class CancellationHorizon {
   /** Several times as long as a watch on the jobs is held open. */
   private static final double FRESH = 1.0 / 6;
 
   private final Settings settings;
-  private final Map<String, Double> toldUpTo = new HashMap<>();
+  private final Map<String, Double> peerHorizons = new HashMap<>();
   private double readAt = Double.NEGATIVE_INFINITY;
 
-  CancellationFreshness(Settings settings) {
+  CancellationHorizon(Settings settings) {
     this.settings = settings;
   }
 
   /** The state service has told of all cancellations; it was asked at that moment. */
-  void read(double askedAt) {
+  void recordRead(double askedAt) {
     readAt = Math.max(readAt, askedAt);
   }
 
@@ -42,17 +42,18 @@
    * question of another. Worth something only if nothing is missing between that and what is known
    * already.
    */
-  void told(String peer, double askedAt, double coveredSince) {
-    if (coveredSince <= Math.max(readAt, toldUpTo.getOrDefault(peer, Double.NEGATIVE_INFINITY))) {
-      toldUpTo.merge(peer, askedAt, Math::max);
+  void recordPeerReport(String peer, double askedAt, double coveredSince) {
+    if (coveredSince
+        <= Math.max(readAt, peerHorizons.getOrDefault(peer, Double.NEGATIVE_INFINITY))) {
+      peerHorizons.merge(peer, askedAt, Math::max);
     }
   }
 
   /** All that was confirmed before this moment is known. */
-  double upTo() {
+  double horizon() {
     double told =
         settings.peers().stream()
-            .mapToDouble(p -> toldUpTo.getOrDefault(p.node(), Double.NEGATIVE_INFINITY))
+            .mapToDouble(p -> peerHorizons.getOrDefault(p.node(), Double.NEGATIVE_INFINITY))
             .min()
             .orElse(Double.NEGATIVE_INFINITY);
     return Math.max(readAt, told);
@@ -65,7 +66,9 @@
    */
   double renewalsAllowedUntil() {
     double leasesEnd =
-        settings.cancelS() - Settings.longestLocalTime(settings.leaseS()) - settings.reportS();
-    return upTo() + Math.max(settings.cancelS() * FRESH, leasesEnd);
+        settings.cancellationDeadlineS()
+            - Settings.maxLocalDuration(settings.workerLeaseS())
+            - settings.heartbeatIntervalS();
+    return horizon() + Math.max(settings.cancellationDeadlineS() * FRESH, leasesEnd);
   }
 }
--- a/src/main/java/org/saffronshore/control/Consolidation.java
+++ b/src/main/java/org/saffronshore/control/Consolidation.java
@@ -8,7 +8,7 @@
 import org.saffronshore.cluster.Attempt;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Machine;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.scheduling.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,10 +26,10 @@
   /** This share of the machines may be emptied at the same time. */
   private static final double EMPTIED_SHARE = 0.02;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Cluster cluster;
 
-  Consolidation(Loop loop, Cluster cluster) {
+  Consolidation(EventLoop loop, Cluster cluster) {
     this.loop = loop;
     this.cluster = cluster;
   }
@@ -39,32 +39,32 @@
    * them: what a machine half empty costs is more than what it takes to save and go on elsewhere. A
    * few machines at a time.
    */
-  void run() {
+  void drainUnderused() {
     double now = loop.now();
     List<Machine> leastFirst = new ArrayList<>();
     Map<Machine, Resources> rooms = new LinkedHashMap<>();
     int draining = 0;
     for (Machine m : cluster.machines()) {
-      if (m.draining()) {
+      if (m.isDraining()) {
         draining++;
         continue;
       }
-      Resources room = m.empty() ? null : cluster.views().freeOn(m);
+      Resources room = m.isEmpty() ? null : cluster.view().freeOn(m);
       if (room != null) {
         rooms.put(m, room);
-        if (cluster.views().movable(m, MIN_RUN_S) && now > m.rentedAt() + MIN_CHARGED_S) {
+        if (cluster.view().movable(m, MIN_RUN_S) && now > m.rentedAt() + MIN_CHARGED_S) {
           leastFirst.add(m);
         }
       }
     }
     int most = Math.max(1, (int) (rooms.size() * EMPTIED_SHARE)) - draining;
-    leastFirst.sort(Comparator.comparing(Machine::spot).thenComparingDouble(Machine::usedCpus));
+    leastFirst.sort(Comparator.comparing(Machine::isSpot).thenComparingDouble(Machine::usedCpus));
     for (int i = 0; i < leastFirst.size() && i < 4 * most && most > 0; i++) {
       Machine m = leastFirst.get(i);
       if (fitElsewhere(m, rooms)) {
-        LOG.debug("emptying machine {}: {} tasks of it fit elsewhere", m.id(), m.count());
+        LOG.debug("emptying machine {}: {} tasks of it fit elsewhere", m.id(), m.taskCount());
         rooms.remove(m);
-        cluster.empty(m);
+        cluster.drain(m);
         most--;
       }
     }
@@ -77,7 +77,7 @@
       Resources found = null;
       for (var e : rooms.entrySet()) {
         Machine other = e.getKey();
-        boolean worse = m.spot() && !other.spot();
+        boolean worse = m.isSpot() && !other.isSpot();
         if (other != m && !worse && e.getValue().fits(a.job()) && other.kind().allows(a.job())) {
           found = e.getValue();
           break;
@@ -88,8 +88,8 @@
         return false;
       }
       Resources room = found;
-      room.take(a.job());
-      undo.add(() -> room.give(a.job()));
+      room.subtract(a.job());
+      undo.add(() -> room.add(a.job()));
     }
     return true;
   }
--- a/src/main/java/org/saffronshore/control/Node.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -9,27 +9,27 @@
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Admission;
+import org.saffronshore.http.AdmissionQueue;
 import org.saffronshore.http.Client;
+import org.saffronshore.http.ConnectionLimit;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.http.HttpServer;
-import org.saffronshore.http.Loop;
-import org.saffronshore.http.Reply;
 import org.saffronshore.http.Request;
-import org.saffronshore.http.Sockets;
+import org.saffronshore.http.Responder;
 import org.saffronshore.leadership.Leadership;
-import org.saffronshore.peer.Progress;
+import org.saffronshore.peer.JobProgress;
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.Heartbeat;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
-import org.saffronshore.wire.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One controller: everything it consists of, and the way of each request through it. */
-public final class Node implements Leadership.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class Controller implements Leadership.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   /**
    * So much of what the sockets could bring at once may wait in the ranks of users; more is told to
@@ -37,12 +37,12 @@
    */
   private static final double QUEUED_SHARE = 1.0 / 8;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final Client client;
   private final RandomGenerator random;
   private final Metrics metrics = new Metrics();
-  private final TeamMetrics teamMetrics;
+  private final QuotaMetrics teamMetrics;
   private final StateClient state;
   private final JobStore store;
   private final CloudClient cloud;
@@ -50,13 +50,13 @@
   private final PeerLink peers;
   private final UserApi users;
   private final AdminApi admin;
-  private final Admission admission;
-  private final Redirects redirects;
+  private final AdmissionQueue admission;
+  private final RedirectTracker redirects;
   private final MachineTypeCache types;
   private Leader leader;
 
   /** Builds a controller; nothing runs before {@link #start}. */
-  public Node(Loop loop, Settings settings, Client client, RandomGenerator random) {
+  public Controller(EventLoop loop, Settings settings, Client client, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
     this.client = client;
@@ -66,7 +66,7 @@
     store.onCancelled(
         id -> {
           if (leader != null) {
-            leader.cancelled(id);
+            leader.jobCancelled(id);
           }
         });
     this.cloud = new CloudClient(loop, client, settings);
@@ -77,34 +77,34 @@
             this,
             now -> {
               if (leader != null) {
-                leader.cluster().types(now);
+                leader.cluster().machineTypes(now);
               }
             });
-    this.users = new UserApi(loop, settings, store, metrics, types::types, this::progress);
+    this.users = new UserApi(loop, settings, store, metrics, types::machineTypes, this::progress);
     this.admin = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
-    int queued = Math.max(8, (int) (settings.sockets() * QUEUED_SHARE));
+    int queued = Math.max(8, (int) (settings.maxSockets() * QUEUED_SHARE));
     this.admission =
-        new Admission(
+        new AdmissionQueue(
             loop,
             Map.of(
-                Admission.Rank.REPORT,
-                settings.sockets(),
-                Admission.Rank.DECISION,
+                AdmissionQueue.RequestClass.REPORT,
+                settings.maxSockets(),
+                AdmissionQueue.RequestClass.DECISION,
                 queued,
-                Admission.Rank.SUBMISSION,
+                AdmissionQueue.RequestClass.SUBMISSION,
                 queued));
-    this.redirects = new Redirects(loop, settings.reportS());
-    this.teamMetrics = new TeamMetrics(metrics, settings.teams().keySet());
+    this.redirects = new RedirectTracker(loop, settings.heartbeatIntervalS());
+    this.teamMetrics = new QuotaMetrics(metrics, settings.teams().keySet());
     metrics.gauge("leading", () -> leadership.isActive() ? 1 : 0);
     metrics.gauge("term", leadership::term);
     metrics.gauge("machines", () -> leader == null ? 0 : leader.cluster().machines().size());
     metrics.gauge("open_jobs", () -> leader == null ? 0 : leader.cluster().jobs().size());
     metrics.gauge(
         "jobs_waiting_for_others",
-        () -> leader == null ? 0 : leader.cluster().dependencies().waiting());
+        () -> leader == null ? 0 : leader.cluster().dependencies().waitingCount());
   }
 
-  Loop loop() {
+  EventLoop loop() {
     return loop;
   }
 
@@ -124,7 +124,7 @@
     return metrics;
   }
 
-  TeamMetrics teamMetrics() {
+  QuotaMetrics teamMetrics() {
     return teamMetrics;
   }
 
@@ -155,25 +155,25 @@
     leadership.start();
     peers.start();
     types.start();
-    loop.every(settings.reportS() / 3, this::probeState);
+    loop.scheduleWithFixedDelay(settings.heartbeatIntervalS() / 3, this::probeState);
     watchLoop();
   }
 
   /** Opens both addresses. Users and workers share one, peers and operators the other. */
   public void serve(IoEventLoopGroup group) throws InterruptedException {
-    int sockets = settings.sockets();
-    new HttpServer(this::handle, new Sockets(Math.max(8, sockets * 3 / 4)))
-        .start(group, settings.listen());
-    new HttpServer(this::handlePeer, new Sockets(Math.max(8, sockets / 20)))
-        .start(group, settings.peerListen());
+    int sockets = settings.maxSockets();
+    new HttpServer(this::handle, new ConnectionLimit(Math.max(8, sockets * 3 / 4)))
+        .start(group, settings.listenAddress());
+    new HttpServer(this::handlePeer, new ConnectionLimit(Math.max(8, sockets / 20)))
+        .start(group, settings.peerListenAddress());
   }
 
   private void watchLoop() {
-    double due = loop.now() + settings.reportS() / 10;
-    loop.after(
-        settings.reportS() / 10,
+    double due = loop.now() + settings.heartbeatIntervalS() / 10;
+    loop.schedule(
+        settings.heartbeatIntervalS() / 10,
         () -> {
-          metrics.took(Metrics.Latency.LOOP, loop.now() - due);
+          metrics.recordLatency(Metrics.Latency.LOOP, loop.now() - due);
           watchLoop();
         });
   }
@@ -181,14 +181,24 @@
   // Requests
 
   /** Handles a request of a user, a worker or a health check. */
-  public void handle(Request request, Reply reply) {
+  public void handle(Request request, Responder reply) {
     String path = request.path();
     if (path.equals("/v1/report")) {
-      on("POST", request, reply, Admission.Rank.REPORT, () -> report(request, reply));
+      on(
+          "POST",
+          request,
+          reply,
+          AdmissionQueue.RequestClass.REPORT,
+          () -> handleHeartbeat(request, reply));
     } else if (path.equals("/healthz")) {
       health(request, reply);
     } else if (path.equals("/work")) {
-      on("POST", request, reply, Admission.Rank.SUBMISSION, () -> users.submit(request, reply));
+      on(
+          "POST",
+          request,
+          reply,
+          AdmissionQueue.RequestClass.SUBMISSION,
+          () -> users.submit(request, reply));
     } else if (path.startsWith("/work/")) {
       String rest = path.substring("/work/".length());
       if (rest.endsWith("/cancel")) {
@@ -196,25 +206,35 @@
             "POST",
             request,
             reply,
-            Admission.Rank.DECISION,
+            AdmissionQueue.RequestClass.DECISION,
             () -> users.cancel(rest.substring(0, rest.length() - "/cancel".length()), reply));
       } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
         reply.error(404, "no such path");
       } else {
-        on("GET", request, reply, Admission.Rank.DECISION, () -> users.look(rest, reply));
+        on(
+            "GET",
+            request,
+            reply,
+            AdmissionQueue.RequestClass.DECISION,
+            () -> users.poll(rest, reply));
       }
     } else {
       reply.error(404, "no such path");
     }
   }
 
-  private void on(String method, Request request, Reply reply, Admission.Rank rank, Runnable work) {
-    if (!request.is(method)) {
+  private void on(
+      String method,
+      Request request,
+      Responder reply,
+      AdmissionQueue.RequestClass rank,
+      Runnable work) {
+    if (!request.hasMethod(method)) {
       reply.error(405, method + " only");
     } else if (!admission.offer(
         rank,
         () -> {
-          if (reply.wanted()) {
+          if (reply.isConnected()) {
             work.run();
           }
         })) {
@@ -223,7 +243,7 @@
   }
 
   /** Handles a request on the peers' address: of another controller or of an operator. */
-  public void handlePeer(Request request, Reply reply) {
+  public void handlePeer(Request request, Responder reply) {
     if (!peers.handle(request, reply) && !admin.handle(request, reply)) {
       reply.error(404, "no such path");
     }
@@ -236,44 +256,45 @@
    * nodes within moments of one another, so that a peer was served a little later than this node
    * says nothing.
    */
-  private void health(Request request, Reply reply) {
-    if (!request.is("GET")) {
+  private void health(Request request, Responder reply) {
+    if (!request.hasMethod("GET")) {
       reply.error(405, "GET only");
-    } else if (types.types().isEmpty()
-        || !served()
-            && (peers.servedSince(state.answeredAt()) || peers.cutOff(settings.reportS()))) {
-      reply.later(503, "not ready", 1);
+    } else if (types.machineTypes().isEmpty()
+        || !isStateServiceAvailable()
+            && (peers.anyPeerServedSince(state.lastResponseAt())
+                || peers.isCutOff(settings.heartbeatIntervalS()))) {
+      reply.retryLater(503, "not ready", 1);
     } else {
       reply.json(200, Json.object().put("ok", true));
     }
   }
 
   /** Whether the state service served this node a moment ago. */
-  boolean served() {
-    return loop.now() - state.answeredAt() < settings.reportS();
+  boolean isStateServiceAvailable() {
+    return loop.now() - state.lastResponseAt() < settings.heartbeatIntervalS();
   }
 
   private void probeState() {
-    if (loop.now() - state.answeredAt() > settings.reportS() / 3) {
+    if (loop.now() - state.lastResponseAt() > settings.heartbeatIntervalS() / 3) {
       state.get(Keys.TERM, true, answer -> {});
     }
   }
 
-  private void report(Request request, Reply reply) {
-    metrics.add(Metrics.Count.REPORTS, 1);
+  private void handleHeartbeat(Request request, Responder reply) {
+    metrics.increment(Metrics.Counter.REPORTS, 1);
     double began = loop.now();
-    Report report = parsed(request, reply);
+    Heartbeat report = parsed(request, reply);
     if (report == null) {
       return;
     }
-    byte[] answer = leader == null ? null : leader.report(report);
+    byte[] answer = leader == null ? null : leader.handleHeartbeat(report);
     if (answer != null) {
-      metrics.took(Metrics.Latency.REPORT, loop.now() - began);
-      reply.send(200, Reply.JSON, answer, 0);
+      metrics.recordLatency(Metrics.Latency.REPORT, loop.now() - began);
+      reply.send(200, Responder.CONTENT_TYPE_JSON, answer, 0);
       return;
     }
     String to = leadership.leaderNode();
-    if (to != null && redirects.cameBack(report.machine(), to)) {
+    if (to != null && redirects.shouldRelay(report.machine(), to)) {
       peers.relay(
           to,
           request.body(),
@@ -281,9 +302,9 @@
             if (relayed == null) {
               redirect(reply, null);
             } else {
-              metrics.add(Metrics.Count.RELAYED, 1);
-              redirects.relayed(report.machine(), to);
-              reply.send(200, Reply.JSON, relayed, 0);
+              metrics.increment(Metrics.Counter.RELAYED, 1);
+              redirects.recordRelayed(report.machine(), to);
+              reply.send(200, Responder.CONTENT_TYPE_JSON, relayed, 0);
             }
           });
     } else {
@@ -291,8 +312,8 @@
     }
   }
 
-  private void redirect(Reply reply, String to) {
-    metrics.add(Metrics.Count.REDIRECTED, 1);
+  private void redirect(Responder reply, String to) {
+    metrics.increment(Metrics.Counter.REDIRECTED, 1);
     ObjectNode redirect = Json.object();
     if (to != null && !to.equals(settings.node())) {
       redirect.put("Dispatcher", to);
@@ -300,10 +321,10 @@
     reply.json(421, redirect);
   }
 
-  private static Report parsed(Request request, Reply reply) {
+  private static Heartbeat parsed(Request request, Responder reply) {
     try {
-      return Report.parse(request.body());
-    } catch (InvalidField e) {
+      return Heartbeat.parse(request.body());
+    } catch (InvalidFieldException e) {
       LOG.warn("a worker's report is malformed: {}", e.getMessage());
       reply.error(400, e.getMessage());
       return null;
@@ -314,9 +335,9 @@
    * The answer to a report that a peer relays, or null when this node cannot answer for the
    * controllers.
    */
-  byte[] reportAnswer(Request request, Reply reply) {
-    Report report = parsed(request, reply);
-    return report == null || leader == null ? null : leader.report(report);
+  byte[] relayedHeartbeatResponse(Request request, Responder reply) {
+    Heartbeat report = parsed(request, reply);
+    return report == null || leader == null ? null : leader.handleHeartbeat(report);
   }
 
   // Leading
@@ -327,31 +348,31 @@
   }
 
   /** What a peer learned of cancellations, in answer to a question of the leader of that term. */
-  void cancellationsTold(
+  void peerReportedCancellations(
       long term, String peer, double askedAt, double coveredSince, List<String> jobs) {
     if (leader != null && leadership.term() == term) {
-      leader.cancellationsTold(peer, askedAt, coveredSince, jobs);
+      leader.peerReportedCancellations(peer, askedAt, coveredSince, jobs);
     }
   }
 
-  private Progress progress(String job) {
+  private JobProgress progress(String job) {
     Leader isActive = activeLeader();
     return isActive != null ? isActive.progress(job) : peers.progress(job);
   }
 
   @Override
-  public void elected(long term, long keyVersion) {
-    metrics.add(Metrics.Count.TERMS, 1);
-    state.leading(true);
+  public void onElected(long term, long keyVersion) {
+    metrics.increment(Metrics.Counter.TERMS, 1);
+    state.setLeading(true);
     leader = new Leader(this, term, keyVersion);
-    leader.cluster().types(types.types());
+    leader.cluster().machineTypes(types.machineTypes());
     leader.start();
-    types.keep();
+    types.persist();
   }
 
   @Override
-  public void deposed(String why) {
-    state.leading(false);
+  public void onDeposed(String why) {
+    state.setLeading(false);
     if (leader != null) {
       leader.end();
       leader = null;
@@ -365,12 +386,12 @@
             .put("leading", leadership.isActive())
             .put("leader", leadership.leaderNode())
             .put("term", leadership.term())
-            .put("state_serves", served());
+            .put("state_serves", isStateServiceAvailable());
     if (leader != null) {
       o.put("open_jobs", leader.cluster().jobs().size())
           .put("machines", leader.cluster().machines().size())
-          .put("machines_unaccounted", leader.cluster().unconfirmedCount())
-          .put("jobs_waiting_for_others", leader.cluster().dependencies().waiting());
+          .put("machines_unaccounted", leader.cluster().unreconciledCount())
+          .put("jobs_waiting_for_others", leader.cluster().dependencies().waitingCount());
     }
     return o;
   }
--- a/src/main/java/org/saffronshore/control/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/control/DependencyResolver.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.JobStore;
-import org.saffronshore.state.JobStore.End;
-import org.saffronshore.state.JobStore.Status;
+import org.saffronshore.state.JobStore.JobOutcome;
+import org.saffronshore.state.JobStore.JobStatus;
 
 /**
  * Works out the difference between what one term knows of jobs that others need, and what the state
@@ -21,7 +21,7 @@
   /** So many writes are under way at the same time. */
   private static final int MAX_WRITES = 8;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final JobStore store;
   private final Leader leader;
   private final Cluster cluster;
@@ -29,7 +29,7 @@
   private boolean reading;
   private final Set<String> writing = new HashSet<>();
 
-  DependencyResolver(Node node, Leader leader, Cluster cluster, TermStore termStore) {
+  DependencyResolver(Controller node, Leader leader, Cluster cluster, TermStore termStore) {
     this.loop = node.loop();
     this.store = node.store();
     this.leader = leader;
@@ -38,12 +38,12 @@
   }
 
   void resolve() {
-    List<String> unknown = cluster.dependencies().unknown();
+    List<String> unknown = cluster.dependencies().unresolved();
     if (!reading && !unknown.isEmpty()) {
       reading = true;
-      store.readEnds(unknown, this::read);
+      store.readOutcomes(unknown, this::read);
     }
-    for (String id : cluster.dependencies().cancelled()) {
+    for (String id : cluster.dependencies().cancelledJobs()) {
       Job job = cluster.job(id);
       if (writing.size() >= MAX_WRITES) {
         break;
@@ -54,20 +54,20 @@
     }
   }
 
-  private void read(Map<String, End> ends) {
+  private void read(Map<String, JobOutcome> ends) {
     reading = false;
     if (leader.term().hasEnded()) {
       return;
     }
     boolean news = false;
-    for (Map.Entry<String, End> read : ends.entrySet()) {
-      End end = read.getValue();
-      if (end.status() == Status.DONE) {
+    for (Map.Entry<String, JobOutcome> read : ends.entrySet()) {
+      JobOutcome end = read.getValue();
+      if (end.status() == JobStatus.DONE) {
         // An end that an earlier version wrote says nothing of its time.
-        cluster.ended(read.getKey(), true, end.atMs() > 0 ? end.atMs() : loop.wallMs());
+        cluster.jobEnded(read.getKey(), true, end.atMs() > 0 ? end.atMs() : loop.wallClockMs());
         news = true;
-      } else if (end.status() == Status.CANCELLED) {
-        leader.cancelled(read.getKey());
+      } else if (end.status() == JobStatus.CANCELLED) {
+        leader.jobCancelled(read.getKey());
         news = true;
       }
     }
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -12,17 +12,17 @@
 import org.saffronshore.cluster.Machine;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.Client;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.leadership.Leadership;
-import org.saffronshore.peer.Progress;
-import org.saffronshore.scheduling.Plan;
+import org.saffronshore.peer.JobProgress;
+import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
 import org.saffronshore.wire.Command;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.wire.Heartbeat;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
-import org.saffronshore.wire.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,33 +34,33 @@
 final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final StateClient state;
   private final Client client;
   private final Leadership leadership;
-  private final TeamMetrics teamMetrics;
+  private final QuotaMetrics teamMetrics;
   private final PeerLink peers;
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final SchedulingLoop scheduling;
   private final Cluster cluster;
-  private final JobWatcher jobWatcher;
+  private final OpenJobWatcher jobWatcher;
   private final TermStore termStore;
   private final DependencyResolver dependencyResolver;
   private final LeaderTerm term;
-  private final byte[] nothingToDo;
+  private final byte[] emptyResponse;
 
   /** Calls under way: a burst of launches must not use up the connections. */
   private int commandsInFlight;
 
   private final int maxCommandsInFlight;
-  private final CancellationFreshness cancellations;
+  private final CancellationHorizon cancellations;
   private final double startedAt;
-  private double noStoreLeaseAt = Double.NEGATIVE_INFINITY;
-  private double refusedSince = Double.POSITIVE_INFINITY;
-  private OperatorSettings operator = OperatorSettings.START;
+  private double lastWithoutStoreLeaseAt = Double.NEGATIVE_INFINITY;
+  private double aloneWithoutStateServiceSince = Double.POSITIVE_INFINITY;
+  private OperatorSettings operator = OperatorSettings.DEFAULTS;
 
-  Leader(Node node, long term, long keyVersion) {
+  Leader(Controller node, long term, long keyVersion) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.state = node.state();
@@ -69,15 +69,16 @@
     this.teamMetrics = node.teamMetrics();
     this.peers = node.peers();
     this.cluster = new Cluster(loop, settings, term, keyVersion);
-    this.term = new LeaderTerm(loop, settings, leadership, term, cluster::stoodStill);
+    this.term = new LeaderTerm(loop, settings, leadership, term, cluster::onProcessPause);
     this.startedAt = loop.now();
-    this.cancellations = new CancellationFreshness(settings);
-    this.maxCommandsInFlight = Math.max(4, settings.sockets() / 8);
-    this.nothingToDo = Json.bytes(answer(List.of()));
-    this.jobWatcher = new JobWatcher(node, this, cluster);
+    this.cancellations = new CancellationHorizon(settings);
+    this.maxCommandsInFlight = Math.max(4, settings.maxSockets() / 8);
+    this.emptyResponse = Json.bytes(commandMessage(List.of()));
+    this.jobWatcher = new OpenJobWatcher(node, this, cluster);
     this.termStore = new TermStore(node, this, cluster);
     this.dependencyResolver = new DependencyResolver(node, this, cluster, termStore);
-    this.fleet = new Autoscaler(loop, settings, node.cloud(), node.metrics(), this.term, cluster);
+    this.autoscaler =
+        new Autoscaler(loop, settings, node.cloud(), node.metrics(), this.term, cluster);
     this.scheduling = new SchedulingLoop(node, this, cluster);
   }
 
@@ -85,8 +86,8 @@
     return cluster;
   }
 
-  Autoscaler fleet() {
-    return fleet;
+  Autoscaler autoscaler() {
+    return autoscaler;
   }
 
   LeaderTerm term() {
@@ -100,26 +101,26 @@
 
   void start() {
     load();
-    loop.after(settings.reportS() / 12, this::checkLeadership);
-    term.repeatWhileActive(settings.reportS() / 12, this::tick);
-    term.repeatWhileActive(settings.reportS() / 3, this::saveProgress);
-    term.repeatWhileActive(settings.reportS(), this::readOperator);
+    loop.schedule(settings.heartbeatIntervalS() / 12, this::checkLeadership);
+    term.repeatWhileActive(settings.heartbeatIntervalS() / 12, this::tick);
+    term.repeatWhileActive(settings.heartbeatIntervalS() / 3, this::saveProgress);
+    term.repeatWhileActive(settings.heartbeatIntervalS(), this::readOperator);
     period();
     readOperator();
-    fleet.start();
+    autoscaler.start();
   }
 
   private void period() {
-    loop.after(
-        operator.tuning().periodS(),
+    loop.schedule(
+        operator.scheduling().periodS(),
         () -> {
           if (term.hasEnded()) {
             return;
           }
           try {
-            scheduling.cycle(true);
+            scheduling.runCycle(true);
             if (term.isActive() && term.isLoaded()) {
-              LOG.info("term {}: {}", term.number(), cluster.views().summary());
+              LOG.info("term {}: {}", term.number(), cluster.view().summary());
             }
           } finally {
             period();
@@ -131,37 +132,44 @@
 
   private void load() {
     double askedAt = loop.now();
-    state.lists(
-        List.of(Keys.PROGRESS, Keys.SHORT_PROGRESS, Keys.REGISTRY, Keys.LAUNCH_MARKS, Keys.JOBS),
+    state.listAll(
+        List.of(
+            Keys.FINISHED_TASKS,
+            Keys.FINISHED_TASKS_SHORT_CHUNKS,
+            Keys.MACHINE_REGISTRY,
+            Keys.LAUNCH_WATERMARKS,
+            Keys.OPEN_JOBS),
         read -> {
           if (term.hasEnded()) {
             return;
           }
           if (read == null) {
-            loop.after(settings.reportS() / 10, this::load);
+            loop.schedule(settings.heartbeatIntervalS() / 10, this::load);
             return;
           }
-          StateClient.Listing jobs = read.get(Keys.JOBS);
-          Map<String, BitSet> done = termStore.readProgress(read.get(Keys.PROGRESS));
-          termStore.readShortProgress(read.get(Keys.SHORT_PROGRESS), done);
-          jobWatcher.begin(jobs, done, termStore.readLaunchMarks(read.get(Keys.LAUNCH_MARKS)));
-          termStore.begin(read.get(Keys.REGISTRY));
+          StateClient.Listing jobs = read.get(Keys.OPEN_JOBS);
+          Map<String, BitSet> done = termStore.readFinishedTasks(read.get(Keys.FINISHED_TASKS));
+          termStore.readFinishedTasksInShortChunks(
+              read.get(Keys.FINISHED_TASKS_SHORT_CHUNKS), done);
+          jobWatcher.begin(
+              jobs, done, termStore.readLaunchWatermarks(read.get(Keys.LAUNCH_WATERMARKS)));
+          termStore.begin(read.get(Keys.MACHINE_REGISTRY));
           term.markLoaded();
           cancellationsRead(askedAt);
           LOG.info(
               "term {}: {} open jobs, {} machines that may hold tasks",
               term.number(),
               jobs.entries().size(),
-              cluster.unconfirmedCount());
+              cluster.unreconciledCount());
           LOG.debug(
               "term {}: read from the state service: asked_s_ago={} leader_key_revision={}"
                   + " revisions={}",
               term.number(),
               loop.now() - askedAt,
-              leadership.keyVersion(),
+              leadership.leaderKeyVersion(),
               revisions(read));
           jobWatcher.watch(jobs.revision());
-          scheduling.plan();
+          scheduling.requestCycle();
         });
   }
 
@@ -172,64 +180,65 @@
     return revisions;
   }
 
-  /** All that was cancelled up to some moment is known here; see {@link CancellationFreshness}. */
-  private void cancellationsKnown() {
+  /** All that was cancelled up to some moment is known here; see {@link CancellationHorizon}. */
+  private void extendRenewals() {
     leadership.allowRenewalsUntil(cancellations.renewalsAllowedUntil());
   }
 
   void cancellationsRead(double asOf) {
-    cancellations.read(asOf);
-    cancellationsKnown();
+    cancellations.recordRead(asOf);
+    extendRenewals();
   }
 
   /** A peer has told which cancellations it learned of; its answer was asked for at that moment. */
-  void cancellationsTold(String peer, double askedAt, double coveredSince, List<String> jobs) {
+  void peerReportedCancellations(
+      String peer, double askedAt, double coveredSince, List<String> jobs) {
     if (!term.isLoaded()) {
       return;
     }
-    jobs.forEach(this::cancelled);
-    cancellations.told(peer, askedAt, coveredSince);
-    cancellationsKnown();
+    jobs.forEach(this::jobCancelled);
+    cancellations.recordPeerReport(peer, askedAt, coveredSince);
+    extendRenewals();
   }
 
   /**
    * The state service has the job as cancelled, as this node or a peer has read or written itself.
    */
-  void cancelled(String job) {
+  void jobCancelled(String job) {
     if (!term.isLoaded()) {
       return;
     }
-    cluster.ended(job, false, loop.wallMs());
+    cluster.jobEnded(job, false, loop.wallClockMs());
     if (cluster.job(job) != null) {
-      remove(job);
+      removeJob(job);
       runDueWork();
     }
   }
 
   /** The job is over. */
-  void remove(String job) {
+  void removeJob(String job) {
     cluster.removeJob(job);
     termStore.remove(job);
   }
 
   private void saveProgress() {
     if (term.isLoaded()) {
-      termStore.saveProgress();
+      termStore.saveFinishedTasks();
     }
   }
 
   private void readOperator() {
     state.get(
-        Keys.OPERATOR,
+        Keys.OPERATOR_SETTINGS,
         true,
         answer -> {
           try {
-            if (answer.found()) {
+            if (answer.isFound()) {
               operator = OperatorSettings.parse(answer.value(), settings.teams().keySet());
-            } else if (answer.missing()) {
-              operator = OperatorSettings.START;
+            } else if (answer.isMissing()) {
+              operator = OperatorSettings.DEFAULTS;
             }
-          } catch (InvalidField e) {
+          } catch (InvalidFieldException e) {
             LOG.error("stored operators' settings are not used: {}", e.getMessage());
           }
         });
@@ -238,22 +247,23 @@
   // Reports
 
   /** The answer to a worker's report; null when this node cannot answer for the controllers now. */
-  byte[] report(Report report) {
-    if (report.token() > term.number()) {
-      leadership.stepDown("worker " + report.machine() + " has seen token " + report.token());
+  byte[] handleHeartbeat(Heartbeat report) {
+    if (report.fencingToken() > term.number()) {
+      leadership.stepDown(
+          "worker " + report.machine() + " has seen token " + report.fencingToken());
       return null;
     }
     term.detectPause();
     if (!term.isActive() || cluster.isRemoved(report.machine())) {
       return null;
     }
-    Machine machine = cluster.reported(report);
+    Machine machine = cluster.heartbeatReceived(report);
     List<Command> commands = cluster.responseCommands(machine);
     runDueWork();
-    return commands.isEmpty() ? nothingToDo : Json.bytes(answer(commands));
+    return commands.isEmpty() ? emptyResponse : Json.bytes(commandMessage(commands));
   }
 
-  private ObjectNode answer(List<Command> commands) {
+  private ObjectNode commandMessage(List<Command> commands) {
     ObjectNode answer = Json.object().put("Baton", term.number());
     Command.write(answer, commands);
     return answer;
@@ -266,12 +276,12 @@
     if (!term.isActive() || !term.isLoaded()) {
       return;
     }
-    termStore.saveLaunchMarks();
+    termStore.saveLaunchWatermarks();
     termStore.saveRegistry();
-    termStore.saveFinished();
+    termStore.saveCompletedJobs();
     sendCommands();
-    if (cluster.takeChanged()) {
-      scheduling.plan();
+    if (cluster.consumeChanged()) {
+      scheduling.requestCycle();
     }
   }
 
@@ -286,28 +296,29 @@
     if (!leadership.holdsStoreLease()) {
       // After an outage the lease is renewed before the jobs can have been read: that takes a
       // moment.
-      noStoreLeaseAt = loop.now();
+      lastWithoutStoreLeaseAt = loop.now();
     }
     if (loop.now()
-        > Math.max(Math.max(startedAt, noStoreLeaseAt), cancellations.readAt())
-            + settings.cancelS() / 3) {
+        > Math.max(Math.max(startedAt, lastWithoutStoreLeaseAt), cancellations.readAt())
+            + settings.cancellationDeadlineS() / 3) {
       leadership.stepDown("cancellations cannot be read");
-    } else if (refusedAlone()) {
+    } else if (isAloneWithoutStateService()) {
       leadership.stepDown("the state service serves its peers, and not it");
     } else {
-      loop.after(settings.reportS() / 12, this::checkLeadership);
+      loop.schedule(settings.heartbeatIntervalS() / 12, this::checkLeadership);
     }
   }
 
   private void tick() {
-    if (peers.alone(settings.reportS()) && cluster.mostlySilent(2 * settings.reportS())) {
+    if (peers.isIsolated(settings.heartbeatIntervalS())
+        && cluster.isMostlySilent(2 * settings.heartbeatIntervalS())) {
       leadership.yieldLeadership("it hears neither its peers nor most machines");
       return;
     }
     cluster.expireLeases();
     cluster.unresponsiveMachines().detect();
-    if (!cluster.mostlySilent(settings.reportS() * 4 / 3)) {
-      cluster.registry().freezeSilent();
+    if (!cluster.isMostlySilent(settings.heartbeatIntervalS() * 4 / 3)) {
+      cluster.registry().cordonSilent();
     }
     cluster.retryCommands();
     dependencyResolver.resolve();
@@ -320,20 +331,21 @@
    * after an outage some are served a moment before the leader is, so this must last for several of
    * its tries.
    */
-  private boolean refusedAlone() {
+  private boolean isAloneWithoutStateService() {
     double now = loop.now();
-    refusedSince =
-        peers.servedSince(state.answeredAt())
-            ? Math.min(refusedSince, now)
+    aloneWithoutStateServiceSince =
+        peers.anyPeerServedSince(state.lastResponseAt())
+            ? Math.min(aloneWithoutStateServiceSince, now)
             : Double.POSITIVE_INFINITY;
-    return !leadership.holdsStoreLease() && now > refusedSince + settings.reportS() / 4;
+    return !leadership.holdsStoreLease()
+        && now > aloneWithoutStateServiceSince + settings.heartbeatIntervalS() / 4;
   }
 
   /** What a cycle has placed and stopped goes out; what found no room is a matter of the fleet. */
-  void cycled(Plan plan) {
-    termStore.saveLaunchMarks();
+  void cycleCompleted(SchedulingPlan plan) {
+    termStore.saveLaunchWatermarks();
     sendCommands();
-    fleet.wanted(plan.unmet());
+    autoscaler.tasksUnplaced(plan.unplaced());
   }
 
   OperatorSettings operator() {
@@ -347,7 +359,7 @@
       if (m == null) {
         return;
       }
-      CommandBatch call = cluster.call(m);
+      CommandBatch call = cluster.nextBatch(m);
       if (call != null) {
         commandsInFlight++;
         send(call);
@@ -356,16 +368,16 @@
   }
 
   private void send(CommandBatch call) {
-    ObjectNode body = answer(call.commands()).put("Shift", call.session());
+    ObjectNode body = commandMessage(call.commands()).put("Shift", call.epoch());
     LOG.debug(
         "telling machine {}: {} token={} session={}",
         call.machine().id(),
         call.commands(),
         term.number(),
-        call.session());
+        call.epoch());
     // What only asks where a machine is must not stand in the way of launches when many do not
     // answer.
-    double patience = settings.reportS() * (call.commands().isEmpty() ? 1 : 4) / 3;
+    double patience = settings.heartbeatIntervalS() * (call.commands().isEmpty() ? 1 : 4) / 3;
     client.send(
         call.machine().address(),
         "POST",
@@ -374,11 +386,11 @@
         patience,
         answer -> {
           commandsInFlight--;
-          Report report = null;
+          Heartbeat report = null;
           if (answer.status() == 200 || answer.status() == 409) {
             try {
-              report = Report.parse(answer.body());
-            } catch (InvalidField e) {
+              report = Heartbeat.parse(answer.body());
+            } catch (InvalidFieldException e) {
               LOG.warn(
                   "machine {} answered with no report: {}", call.machine().id(), e.getMessage());
             }
@@ -386,20 +398,23 @@
           if (term.hasEnded()) {
             return;
           }
-          if (report != null && report.token() > term.number()) {
-            leadership.stepDown("worker " + report.machine() + " has seen token " + report.token());
+          if (report != null && report.fencingToken() > term.number()) {
+            leadership.stepDown(
+                "worker " + report.machine() + " has seen token " + report.fencingToken());
             return;
           }
           boolean surelyNot =
-              answer.equals(org.saffronshore.http.Answer.NOT_SENT)
+              answer.equals(org.saffronshore.http.Response.NOT_SENT)
                   || answer.status() == 409 && report != null;
-          cluster.called(call, answer.status() == 200 && report != null, surelyNot, report);
+          cluster.batchCompleted(call, answer.status() == 200 && report != null, surelyNot, report);
           runDueWork();
         });
   }
 
-  Progress progress(String id) {
+  JobProgress progress(String id) {
     Job job = cluster.job(id);
-    return job == null ? Progress.NONE : new Progress(job.doneTasks().cardinality(), job.running());
+    return job == null
+        ? JobProgress.NONE
+        : new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
   }
 }
--- a/src/main/java/org/saffronshore/control/MachineListPoller.java
+++ b/src/main/java/org/saffronshore/control/MachineListPoller.java
@@ -5,19 +5,19 @@
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.cloud.MachinePage;
 import org.saffronshore.cluster.Cluster;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 
 /** Keeps one term's cluster in line with the cloud's list of machines. */
 final class MachineListPoller {
-  private final Loop loop;
+  private final EventLoop loop;
   private final CloudClient cloud;
   private final LeaderTerm term;
   private final Cluster cluster;
   private boolean busy;
   private boolean complete;
 
-  MachineListPoller(Loop loop, CloudClient cloud, LeaderTerm term, Cluster cluster) {
+  MachineListPoller(EventLoop loop, CloudClient cloud, LeaderTerm term, Cluster cluster) {
     this.loop = loop;
     this.cloud = cloud;
     this.term = term;
@@ -29,7 +29,7 @@
     return complete;
   }
 
-  void read() {
+  void poll() {
     if (!busy) {
       busy = true;
       page("", new HashSet<>(), loop.now());
@@ -37,7 +37,7 @@
   }
 
   private void page(String after, Set<String> ids, double requestedAt) {
-    cloud.list(
+    cloud.listMachines(
         after,
         page -> {
           if (!term.holdsLease() || page.isEmpty()) {
@@ -48,15 +48,16 @@
           for (MachinePage.ListedMachine m : page.get().machines()) {
             last = m.id();
             ids.add(last);
-            cluster.listed(last, m.address(), m.type(), m.zone(), m.spot(), m.failed(), m.heldS());
+            cluster.machineListed(
+                last, m.address(), m.type(), m.zone(), m.spot(), m.failed(), m.rentedForS());
           }
-          if (!page.get().last() && !last.equals(after)) {
+          if (!page.get().isLast() && !last.equals(after)) {
             page(last, ids, requestedAt);
             return;
           }
           busy = false;
           complete = true;
-          cluster.listedOnly(ids, requestedAt);
+          cluster.removeUnlisted(ids, requestedAt);
         });
   }
 }
--- a/src/main/java/org/saffronshore/control/MachineTypeCache.java
+++ b/src/main/java/org/saffronshore/control/MachineTypeCache.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.Transaction;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.MachineType;
 import org.slf4j.Logger;
@@ -24,17 +24,17 @@
 final class MachineTypeCache {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final CloudClient cloud;
   private final StateClient state;
   private final Leadership leadership;
   private final Consumer<Map<String, MachineType>> changed;
-  private Map<String, MachineType> types = Map.of();
-  private Map<String, MachineType> kept = Map.of();
-  private JsonNode told;
+  private Map<String, MachineType> machineTypes = Map.of();
+  private Map<String, MachineType> persisted = Map.of();
+  private JsonNode cloudResponse;
 
-  MachineTypeCache(Node node, Consumer<Map<String, MachineType>> changed) {
+  MachineTypeCache(Controller node, Consumer<Map<String, MachineType>> changed) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.cloud = node.cloud();
@@ -44,77 +44,82 @@
   }
 
   /** Empty as long as nobody has told. */
-  Map<String, MachineType> types() {
-    return types;
+  Map<String, MachineType> machineTypes() {
+    return machineTypes;
   }
 
   void start() {
-    readKept();
+    readPersisted();
     readCloud();
   }
 
-  private void readKept() {
+  private void readPersisted() {
     state.get(
-        Keys.TYPES,
+        Keys.MACHINE_TYPES,
         true,
         answer -> {
-          if (answer.found()) {
-            kept = parsed(answer.value());
-            if (types.isEmpty()) {
-              learned(kept);
+          if (answer.isFound()) {
+            persisted = parsed(answer.value());
+            if (machineTypes.isEmpty()) {
+              update(persisted);
             }
-          } else if (types.isEmpty()) {
-            loop.after(settings.reportS() / 6, this::readKept);
+          } else if (machineTypes.isEmpty()) {
+            loop.schedule(settings.heartbeatIntervalS() / 6, this::readPersisted);
           }
         });
   }
 
   private void readCloud() {
-    cloud.types(
+    cloud.listMachineTypes(
         answer -> {
           JsonNode body = answer.ok() ? answer.json() : null;
           Map<String, MachineType> read = body == null ? Map.of() : parsed(body);
           if (!read.isEmpty()) {
-            learned(read);
-            told = body;
-            keep();
+            update(read);
+            cloudResponse = body;
+            persist();
           }
-          loop.after(read.isEmpty() ? settings.reportS() / 3 : settings.leaseS(), this::readCloud);
+          loop.schedule(
+              read.isEmpty() ? settings.heartbeatIntervalS() / 3 : settings.workerLeaseS(),
+              this::readCloud);
         });
   }
 
   private static Map<String, MachineType> parsed(JsonNode body) {
     try {
       return MachineType.parseAll(body);
-    } catch (InvalidField e) {
+    } catch (InvalidFieldException e) {
       LOG.error("machine types cannot be read: {}", e.getMessage());
       return Map.of();
     }
   }
 
-  private void learned(Map<String, MachineType> now) {
-    types = now;
+  private void update(Map<String, MachineType> now) {
+    machineTypes = now;
     changed.accept(now);
   }
 
   /** Writes down what the cloud told, if this node leads and that is new. */
-  void keep() {
+  void persist() {
     boolean same =
-        told == null
-            || kept.keySet().equals(types.keySet())
-                && types.values().stream().allMatch(t -> t.sameButForPrices(kept.get(t.name())));
+        cloudResponse == null
+            || persisted.keySet().equals(machineTypes.keySet())
+                && machineTypes.values().stream()
+                    .allMatch(t -> t.equalsIgnoringPrices(persisted.get(t.name())));
     if (same
         || !leadership.holdsStoreLease()
-        || Json.bytes(told).length > settings.valueKb() * 1024) {
+        || Json.bytes(cloudResponse).length > settings.maxValueKb() * 1024) {
       return;
     }
-    Map<String, MachineType> keeping = types;
+    Map<String, MachineType> keeping = machineTypes;
     state.commit(
-        new Txn().guard(Keys.LEADER, leadership.keyVersion()).set(Keys.TYPES, told),
+        new Transaction()
+            .expectVersion(Keys.LEADER, leadership.leaderKeyVersion())
+            .put(Keys.MACHINE_TYPES, cloudResponse),
         false,
         answer -> {
-          if (answer.committed()) {
-            kept = keeping;
+          if (answer.isCommitted()) {
+            persisted = keeping;
           }
         });
   }
--- a/src/main/java/org/saffronshore/control/JobWatcher.java
+++ b/src/main/java/org/saffronshore/control/OpenJobWatcher.java
@@ -10,27 +10,27 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
 import org.saffronshore.config.Settings;
-import org.saffronshore.http.Loop;
-import org.saffronshore.state.Changes;
+import org.saffronshore.http.EventLoop;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.wire.InvalidField;
+import org.saffronshore.state.WatchResult;
+import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Keeps one term's cluster in line with the open jobs of the state service. */
-final class JobWatcher {
-  private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
+final class OpenJobWatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(OpenJobWatcher.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
   private final StateClient state;
   private final Leader leader;
   private final Cluster cluster;
 
-  JobWatcher(Node node, Leader leader, Cluster cluster) {
+  OpenJobWatcher(Controller node, Leader leader, Cluster cluster) {
     this.loop = node.loop();
     this.settings = node.settings();
     this.state = node.state();
@@ -61,10 +61,10 @@
       cluster.addJob(
           JobSpec.parse(record.get("Spec")),
           version,
-          Json.count(record, "At", 0),
+          Json.integer(record, "At", 0),
           done,
           launchMark);
-    } catch (InvalidField e) {
+    } catch (InvalidFieldException e) {
       LOG.error("the record {} cannot be read: {}", key, e.getMessage());
     }
   }
@@ -79,31 +79,31 @@
     }
     double askedAt = loop.now();
     state.watch(
-        Keys.JOBS,
+        Keys.OPEN_JOBS,
         from,
-        settings.cancelS() / 20,
+        settings.cancellationDeadlineS() / 20,
         answer -> {
           if (leader.term().hasEnded()) {
             return;
           }
-          if (answer.received()) {
-            apply(answer.changes());
+          if (answer.isReceived()) {
+            apply(answer.events());
             leader.cancellationsRead(askedAt);
             watch(answer.revision());
-          } else if (answer.outcome() == Changes.Outcome.TOO_OLD) {
+          } else if (answer.outcome() == WatchResult.Outcome.COMPACTED) {
             relist();
           } else {
-            loop.after(settings.reportS() / 10, () -> watch(from));
+            loop.schedule(settings.heartbeatIntervalS() / 10, () -> watch(from));
           }
         });
   }
 
-  private void apply(List<Changes.Change> changes) {
-    for (Changes.Change change : changes) {
+  private void apply(List<WatchResult.Event> changes) {
+    for (WatchResult.Event change : changes) {
       if (change.value() != null) {
         addNew(change.key(), change.value(), change.version());
       } else {
-        leader.remove(Keys.idOf(change.key()));
+        leader.removeJob(Keys.idOf(change.key()));
       }
     }
     if (!changes.isEmpty()) {
@@ -114,14 +114,14 @@
   private void relist() {
     double askedAt = loop.now();
     state.list(
-        Keys.JOBS,
+        Keys.OPEN_JOBS,
         true,
         jobs -> {
           if (leader.term().hasEnded()) {
             return;
           }
           if (jobs == null) {
-            loop.after(settings.reportS() / 10, this::relist);
+            loop.schedule(settings.heartbeatIntervalS() / 10, this::relist);
             return;
           }
           Set<String> open = new HashSet<>();
@@ -131,7 +131,7 @@
           }
           for (Job job : new ArrayList<>(cluster.jobs())) {
             if (!open.contains(job.spec().id())) {
-              leader.remove(job.spec().id());
+              leader.removeJob(job.spec().id());
             }
           }
           leader.cancellationsRead(askedAt);
--- a/src/main/java/org/saffronshore/control/PagedRecords.java
+++ b/src/main/java/org/saffronshore/control/PagedRecords.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import org.saffronshore.state.CommitResult;
 import org.saffronshore.state.StateClient;
-import org.saffronshore.state.Txn;
+import org.saffronshore.state.Transaction;
 import org.saffronshore.wire.Json;
 
 /**
@@ -186,7 +186,7 @@
    * Adds changed pages to a transaction, as far as it has room; the batch must be told what became
    * of it.
    */
-  Batch addTo(Txn txn, int maxChanges, int maxTxnBytes) {
+  Batch addTo(Transaction txn, int maxChanges, int maxTxnBytes) {
     Batch batch = new Batch();
     int bytes = 0;
     // A copy whose entries were all taken out before it was ever written need not be.
@@ -199,7 +199,7 @@
       if (!page.dirty || waits || page.version == 0 && page.entries.isEmpty()) {
         continue;
       }
-      if (txn.changes() >= maxChanges
+      if (txn.writeCount() >= maxChanges
           || !batch.pages.isEmpty() && bytes + page.bytes > maxTxnBytes) {
         break;
       }
@@ -207,10 +207,10 @@
       // one.
       // And a page that has become empty stays: with its key gone, a late write that created it
       // could do so again.
-      txn.guard(page.key, page.version);
+      txn.expectVersion(page.key, page.version);
       ObjectNode value = Json.object();
       page.entries.forEach(value::set);
-      txn.set(page.key, value);
+      txn.put(page.key, value);
       bytes += page.bytes;
       page.dirty = false;
       batch.pages.add(page);
@@ -237,14 +237,14 @@
      * tells so.
      */
     boolean written(StateClient state, CommitResult result) {
-      if (result.committed()) {
+      if (result.isCommitted()) {
         pages.forEach(page -> page.version = result.revision());
         PagedRecords.this.pages.values().forEach(page -> page.copiedTo.removeAll(pages));
         return true;
       }
       for (Page page : pages) {
         page.dirty = true;
-        if (result.failedKeys().contains(page.key)) {
+        if (result.conflictingKeys().contains(page.key)) {
           ask(state, page);
         }
       }
@@ -258,7 +258,7 @@
           true,
           answer -> {
             page.asking = false;
-            if (!answer.unknown()) {
+            if (!answer.isUnknown()) {
               page.version = answer.version();
             }
           });
