--- a/src/main/java/org/saffronshore/state/Txn.java
+++ b/src/main/java/org/saffronshore/state/Transaction.java
@@ -9,48 +9,48 @@
 /**
  * A transaction in the making: guards on versions of keys, and changes that all happen or do not.
  */
-public final class Txn {
+public final class Transaction {
   /** A transaction may have so many times more guards than changes. */
-  private static final int GUARDS_PER_CHANGE = 4;
+  private static final int CONDITIONS_PER_WRITE = 4;
 
   private final ObjectNode body = Json.object();
-  private final ArrayNode guards = body.putArray("Guards");
-  private final ArrayNode changes = body.putArray("Then");
+  private final ArrayNode conditions = body.putArray("Guards");
+  private final ArrayNode writes = body.putArray("Then");
 
   /** How many guards the state service takes in a transaction. */
-  public static int maxGuards(Settings settings) {
-    return GUARDS_PER_CHANGE * settings.txnOps();
+  public static int maxConditions(Settings settings) {
+    return CONDITIONS_PER_WRITE * settings.maxTransactionWrites();
   }
 
   /** Version 0 asks that the key does not exist. */
-  public Txn guard(String key, long version) {
-    guards.addObject().put("K", key).put("Stamp", version);
+  public Transaction expectVersion(String key, long version) {
+    conditions.addObject().put("K", key).put("Stamp", version);
     return this;
   }
 
-  public Txn set(String key, JsonNode value) {
-    changes.addObject().put("Set", key).set("Data", value);
+  public Transaction put(String key, JsonNode value) {
+    writes.addObject().put("Set", key).set("Data", value);
     return this;
   }
 
   /** Sets a key that goes away with the lease it hangs on. */
-  public Txn set(String key, JsonNode value, long lease) {
-    changes.addObject().put("Set", key).put("Permit", lease).set("Data", value);
+  public Transaction put(String key, JsonNode value, long lease) {
+    writes.addObject().put("Set", key).put("Permit", lease).set("Data", value);
     return this;
   }
 
-  public Txn remove(String key) {
-    changes.addObject().put("Remove", key);
+  public Transaction delete(String key) {
+    writes.addObject().put("Remove", key);
     return this;
   }
 
-  public int changes() {
-    return changes.size();
+  public int writeCount() {
+    return writes.size();
   }
 
   /** One without changes only compares, and is written without a list of them. */
-  byte[] bytes() {
-    if (changes.isEmpty()) {
+  byte[] toBytes() {
+    if (writes.isEmpty()) {
       body.remove("Then");
     }
     return Json.bytes(body);
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -16,8 +16,8 @@
     return new VoteRequest(
         Json.text(stored, "Node"),
         Json.text(stored, "Life"),
-        Json.count(stored, "Term", -1),
-        Json.count(stored, "N", 0));
+        Json.integer(stored, "Term", -1),
+        Json.integer(stored, "N", 0));
   }
 
   /** The stored form. */
@@ -40,9 +40,9 @@
 
   /** Whether a stored vote is for this request. */
   public boolean isVotedForBy(JsonNode vote) {
-    return Json.count(vote, "Term", -1) == term
+    return Json.integer(vote, "Term", -1) == term
         && node.equals(Json.text(vote, "To"))
         && incarnation.equals(Json.text(vote, "Life"))
-        && Json.count(vote, "N", -1) == number;
+        && Json.integer(vote, "N", -1) == number;
   }
 }
--- a/src/main/java/org/saffronshore/wire/Command.java
+++ b/src/main/java/org/saffronshore/wire/Command.java
@@ -5,25 +5,25 @@
 import java.util.List;
 
 /** An order to a worker about one attempt at one task. */
-public record Command(Op op, TaskId task, long attempt, double graceS) {
+public record Command(Action action, TaskId task, long attempt, double gracePeriodS) {
 
   /** What a worker is to do. */
-  public enum Op {
-    START,
+  public enum Action {
+    LAUNCH,
     STOP,
-    FORGET
+    REAP
   }
 
-  public static Command start(TaskId task, long attempt) {
-    return new Command(Op.START, task, attempt, 0);
+  public static Command launch(TaskId task, long attempt) {
+    return new Command(Action.LAUNCH, task, attempt, 0);
   }
 
   public static Command stop(TaskId task, long attempt, double graceS) {
-    return new Command(Op.STOP, task, attempt, graceS);
+    return new Command(Action.STOP, task, attempt, graceS);
   }
 
-  public static Command forget(TaskId task, long attempt) {
-    return new Command(Op.FORGET, task, attempt, 0);
+  public static Command reap(TaskId task, long attempt) {
+    return new Command(Action.REAP, task, attempt, 0);
   }
 
   /** Adds commands to a message to a worker. */
@@ -33,14 +33,14 @@
       ObjectNode o = calls.addObject();
       o.put(
           "Call",
-          switch (c.op) {
-            case START -> "launch";
+          switch (c.action) {
+            case LAUNCH -> "launch";
             case STOP -> "kill";
-            case FORGET -> "reap";
+            case REAP -> "reap";
           });
       o.put("Leg", c.task.toString()).put("Lap", c.attempt);
-      if (c.op == Op.STOP) {
-        o.put("CooldownS", c.graceS);
+      if (c.action == Action.STOP) {
+        o.put("CooldownS", c.gracePeriodS);
       }
     }
   }
--- a/src/main/java/org/saffronshore/wire/InvalidField.java
+++ b/src/main/java/org/saffronshore/wire/InvalidFieldException.java
@@ -1,11 +1,11 @@
 package org.saffronshore.wire;
 
 /** A message or settings field that is missing or has a value that it may not have. */
-public final class InvalidField extends Exception {
+public final class InvalidFieldException extends Exception {
   private static final long serialVersionUID = 1L;
   private final String field;
 
-  public InvalidField(String field, String problem) {
+  public InvalidFieldException(String field, String problem) {
     super(field + ": " + problem, null, false, false);
     this.field = field;
   }
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -22,21 +22,21 @@
     double memoryGb,
     String image,
     double imageGb,
-    List<String> types,
+    List<String> machineTypes,
     String zone,
-    boolean oneZone,
+    boolean singleZone,
     boolean spread,
     boolean spot,
-    double estimateS,
-    double checkpointS,
-    double saveS,
+    double estimatedRuntimeS,
+    double checkpointIntervalS,
+    double checkpointDurationS,
     double deadlineS,
     List<String> dependencies) {
 
   public static final int MAX_TASKS = 100_000;
 
   /** The field that names the jobs that one needs. */
-  public static final String DEPENDENCIES = "Awaits";
+  public static final String DEPENDENCIES_FIELD = "Awaits";
 
   private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
   private static final double MAX = 1e9;
@@ -44,26 +44,26 @@
   /**
    * Whether a text has the form of a job id, and may thus be part of a key of the state service.
    */
-  public static boolean isId(String text) {
+  public static boolean isValidId(String text) {
     return text != null && ID.matcher(text).matches();
   }
 
   /** Reads a submission or a stored job; a failure names the field. */
-  public static JobSpec parse(JsonNode body) throws InvalidField {
-    Fields f = Fields.of(body, "");
+  public static JobSpec parse(JsonNode body) throws InvalidFieldException {
+    FieldReader f = FieldReader.of(body, "");
     String id = f.text("Uid");
-    if (!isId(id)) {
-      throw new InvalidField("Uid", "must have the form wk-000412");
+    if (!isValidId(id)) {
+      throw new InvalidFieldException("Uid", "must have the form wk-000412");
     }
     if (!"array".equals(f.text("Shape"))) {
-      throw new InvalidField("Shape", "must be array");
+      throw new InvalidFieldException("Shape", "must be array");
     }
     List<String> types = f.textsOrNull("Rigs");
     return new JobSpec(
         id,
         f.text("RouteKind"),
         f.text("Crew"),
-        Priority.of(f.text("Urgency")),
+        Priority.fromWireName(f.text("Urgency")),
         (int) f.count("Legs", 1, MAX_TASKS),
         f.number("Cores", 0, MAX),
         f.number("Accelerators", 0, MAX),
@@ -82,17 +82,18 @@
         dependencies(f, id));
   }
 
-  private static List<String> dependencies(Fields f, String own) throws InvalidField {
-    List<String> named = f.textsOrNull(DEPENDENCIES);
+  private static List<String> dependencies(FieldReader f, String own) throws InvalidFieldException {
+    List<String> named = f.textsOrNull(DEPENDENCIES_FIELD);
     if (named == null) {
       return List.of();
     }
     for (String id : named) {
-      if (!isId(id)) {
-        throw new InvalidField(DEPENDENCIES, "must be a list of ids of the form wk-000412");
+      if (!isValidId(id)) {
+        throw new InvalidFieldException(
+            DEPENDENCIES_FIELD, "must be a list of ids of the form wk-000412");
       }
       if (id.equals(own)) {
-        throw new InvalidField(DEPENDENCIES, "must not name the job itself");
+        throw new InvalidFieldException(DEPENDENCIES_FIELD, "must not name the job itself");
       }
     }
     return named.stream().distinct().toList();
@@ -110,14 +111,14 @@
       double memoryGb,
       String image,
       double imageGb,
-      List<String> types,
+      List<String> machineTypes,
       String zone,
-      boolean oneZone,
+      boolean singleZone,
       boolean spread,
       boolean spot,
-      double estimateS,
-      double checkpointS,
-      double saveS,
+      double estimatedRuntimeS,
+      double checkpointIntervalS,
+      double checkpointDurationS,
       double deadlineS) {
     this(
         id,
@@ -130,20 +131,20 @@
         memoryGb,
         image,
         imageGb,
-        types,
+        machineTypes,
         zone,
-        oneZone,
+        singleZone,
         spread,
         spot,
-        estimateS,
-        checkpointS,
-        saveS,
+        estimatedRuntimeS,
+        checkpointIntervalS,
+        checkpointDurationS,
         deadlineS,
         List.of());
   }
 
   /** The same job in another class. */
-  public JobSpec at(Priority other) {
+  public JobSpec withPriority(Priority other) {
     return new JobSpec(
         id,
         jobClass,
@@ -155,20 +156,20 @@
         memoryGb,
         image,
         imageGb,
-        types,
+        machineTypes,
         zone,
-        oneZone,
+        singleZone,
         spread,
         spot,
-        estimateS,
-        checkpointS,
-        saveS,
+        estimatedRuntimeS,
+        checkpointIntervalS,
+        checkpointDurationS,
         deadlineS,
         dependencies);
   }
 
   /** The same job, with other jobs to wait for. */
-  public JobSpec after(List<String> others) {
+  public JobSpec withDependencies(List<String> others) {
     return new JobSpec(
         id,
         jobClass,
@@ -180,14 +181,14 @@
         memoryGb,
         image,
         imageGb,
-        types,
+        machineTypes,
         zone,
-        oneZone,
+        singleZone,
         spread,
         spot,
-        estimateS,
-        checkpointS,
-        saveS,
+        estimatedRuntimeS,
+        checkpointIntervalS,
+        checkpointDurationS,
         deadlineS,
         List.copyOf(others));
   }
@@ -199,31 +200,31 @@
         .put("RouteKind", jobClass)
         .put("Crew", team)
         .put("Shape", "array")
-        .put("Urgency", priority.wire())
+        .put("Urgency", priority.wireName())
         .put("Legs", tasks)
         .put("Cores", cpus)
         .put("Accelerators", gpus)
         .put("RamGb", memoryGb)
         .put("Kit", image)
         .put("ImageGb", imageGb);
-    if (types != null) {
+    if (machineTypes != null) {
       var array = o.putArray("Rigs");
-      types.forEach(array::add);
+      machineTypes.forEach(array::add);
     }
     if (zone != null) {
       o.put("Depot", zone);
     }
-    o.put("SamePlace", oneZone)
+    o.put("SamePlace", singleZone)
         .put("Spread", spread)
         .put("Loaner", spot)
-        .put("EtaS", estimateS)
-        .put("WaypointS", checkpointS)
-        .put("StashS", saveS);
+        .put("EtaS", estimatedRuntimeS)
+        .put("WaypointS", checkpointIntervalS)
+        .put("StashS", checkpointDurationS);
     if (Double.isFinite(deadlineS)) {
       o.put("CutoffS", deadlineS);
     }
     if (!dependencies.isEmpty()) {
-      var array = o.putArray(DEPENDENCIES);
+      var array = o.putArray(DEPENDENCIES_FIELD);
       dependencies.forEach(array::add);
     }
     return o;
@@ -238,16 +239,16 @@
    * Whether a task of this job asks for at least as much as one of another, and may go to no more
    * machines.
    */
-  public boolean asksNoLess(JobSpec other) {
+  public boolean requiresAtLeast(JobSpec other) {
     return cpus >= other.cpus
         && gpus >= other.gpus
         && memoryGb >= other.memoryGb
         && (other.spot || !spot)
         && (other.zone == null || other.zone.equals(zone))
-        && (other.types == null || other.types.equals(types));
+        && (other.machineTypes == null || other.machineTypes.equals(machineTypes));
   }
 
-  public boolean saves() {
-    return checkpointS > 0;
+  public boolean supportsCheckpoints() {
+    return checkpointIntervalS > 0;
   }
 }
--- a/src/main/java/org/saffronshore/wire/Json.java
+++ b/src/main/java/org/saffronshore/wire/Json.java
@@ -68,7 +68,7 @@
     return value != null && value.isTextual() ? value.textValue() : null;
   }
 
-  public static long count(JsonNode node, String field, long otherwise) {
+  public static long integer(JsonNode node, String field, long otherwise) {
     JsonNode value = node.get(field);
     return value != null && value.isNumber() ? value.longValue() : otherwise;
   }
@@ -78,7 +78,7 @@
     return value != null && value.isNumber() ? value.doubleValue() : otherwise;
   }
 
-  public static boolean flag(JsonNode node, String field) {
+  public static boolean bool(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value != null && value.isBoolean() && value.booleanValue();
   }
--- a/src/main/java/org/saffronshore/wire/MachineType.java
+++ b/src/main/java/org/saffronshore/wire/MachineType.java
@@ -13,17 +13,17 @@
     double gpus,
     double memoryGb,
     double cacheGb,
-    double fetchGbPerS,
-    double price,
-    double spotPrice,
+    double imagePullGbPerS,
+    double pricePerHour,
+    double spotPricePerHour,
     double bootS,
     List<String> zones) {
 
   /** Reads the cloud's answer to a question for its machine types. */
-  public static Map<String, MachineType> parseAll(JsonNode body) throws InvalidField {
+  public static Map<String, MachineType> parseAll(JsonNode body) throws InvalidFieldException {
     Map<String, MachineType> all = new LinkedHashMap<>();
     double most = 1e9;
-    for (Fields f : Fields.of(body, "").objects("Rigs")) {
+    for (FieldReader f : FieldReader.of(body, "").objects("Rigs")) {
       List<String> zones = f.textsOrNull("Depots");
       MachineType type =
           new MachineType(
@@ -43,7 +43,7 @@
   }
 
   /** Whether it differs from another in nothing but the price that moves. */
-  public boolean sameButForPrices(MachineType other) {
+  public boolean equalsIgnoringPrices(MachineType other) {
     return other != null
         && equals(
             new MachineType(
@@ -52,9 +52,9 @@
                 other.gpus,
                 other.memoryGb,
                 other.cacheGb,
-                other.fetchGbPerS,
-                price,
-                spotPrice,
+                other.imagePullGbPerS,
+                pricePerHour,
+                spotPricePerHour,
                 other.bootS,
                 other.zones));
   }
@@ -64,7 +64,7 @@
     return cpus >= job.cpus()
         && gpus >= job.gpus()
         && memoryGb >= job.memoryGb()
-        && (job.types() == null || job.types().contains(name))
+        && (job.machineTypes() == null || job.machineTypes().contains(name))
         && (job.zone() == null || zones.contains(job.zone()));
   }
 }
--- a/src/main/java/org/saffronshore/wire/Priority.java
+++ b/src/main/java/org/saffronshore/wire/Priority.java
@@ -7,23 +7,23 @@
   URGENT("urgent"),
   CRITICAL("critical");
 
-  private final String wire;
+  private final String wireName;
 
   Priority(String wire) {
-    this.wire = wire;
+    this.wireName = wire;
   }
 
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** Reads the name that the protocol uses. */
-  public static Priority of(String text) throws InvalidField {
+  public static Priority fromWireName(String text) throws InvalidFieldException {
     for (Priority p : values()) {
-      if (p.wire.equals(text)) {
+      if (p.wireName.equals(text)) {
         return p;
       }
     }
-    throw new InvalidField("Urgency", "must be critical, urgent, standard or idle");
+    throw new InvalidFieldException("Urgency", "must be critical, urgent, standard or idle");
   }
 }
--- a/src/main/java/org/saffronshore/wire/TaskId.java
+++ b/src/main/java/org/saffronshore/wire/TaskId.java
@@ -4,7 +4,7 @@
 public record TaskId(String job, int index) {
 
   /** Reads the form job/index. */
-  public static TaskId parse(String text) throws InvalidField {
+  public static TaskId parse(String text) throws InvalidFieldException {
     int slash = text.indexOf('/');
     try {
       if (slash > 0) {
@@ -16,7 +16,7 @@
     } catch (NumberFormatException e) {
       // Falls through to the one message for every ill-formed name.
     }
-    throw new InvalidField("Leg", "must have the form wk-000412/3");
+    throw new InvalidFieldException("Leg", "must have the form wk-000412/3");
   }
 
   @Override
--- /dev/null
+++ b/src/test/java/org/saffronshore/control/RedirectTrackerTest.java
@@ -0,0 +1,31 @@
+package org.saffronshore.control;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.saffronshore.ManualEventLoop;
+
+class RedirectTrackerTest {
+  private final ManualEventLoop loop = new ManualEventLoop();
+  private final RedirectTracker redirects = new RedirectTracker(loop, 3);
+
+  /** A worker that is back soon could not reach the leader: its lease must not run out for that. */
+  @Test
+  void relaysForWhoComesBack() {
+    assertFalse(redirects.shouldRelay("host-1", "n-1"));
+    loop.pass(5);
+    assertTrue(redirects.shouldRelay("host-1", "n-1"));
+    redirects.recordRelayed("host-1", "n-1");
+    loop.pass(3);
+    assertTrue(redirects.shouldRelay("host-1", "n-1"), "and for the reports after that");
+  }
+
+  @Test
+  void sendsElsewhereWhoDidNotComeFromThere() {
+    assertFalse(redirects.shouldRelay("host-1", "n-1"));
+    assertFalse(redirects.shouldRelay("host-1", "n-2"), "another leader has not been tried");
+    loop.pass(60);
+    assertFalse(redirects.shouldRelay("host-1", "n-2"), "that was long ago");
+  }
+}
