--- a/src/main/java/org/saffronshore/cloud/MachinePage.java
+++ b/src/main/java/org/saffronshore/cloud/MachinePage.java
@@ -17,7 +17,7 @@
    * A machine as the cloud lists it.
    *
    * @param failed whether it has stopped of its own accord
-   * @param heldS its age since the rental request, at the time that the list describes
+   * @param rentedForS its age since the rental request, at the time that the list describes
    */
   public record ListedMachine(
       String id,
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -41,7 +41,6 @@
   private final EventLoop loop;
   private final Settings settings;
   private final long term;
-
   private final double startedAt;
   private final JobTable jobs;
   private final MachineTable machines;
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -216,7 +216,7 @@
         waiting = waiting.get(0, Math.min(job.launchWatermark, job.spec.tasks()));
       }
       boolean zonesMatter = PendingJob.hasZoneConstraint(job.spec);
-      if (waiting.isEmpty() || zonesMatter && cluster.mayRunInUnknownZone(job)) {
+      if (waiting.isEmpty() || (zonesMatter && cluster.mayRunInUnknownZone(job))) {
         continue;
       }
       Map<String, Integer> perZone = zonesMatter ? perZone(job) : Map.of();
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -52,7 +52,7 @@
       return true;
     }
     for (Attempt a : m.attempts.values()) {
-      if (isLaunchDue(a) && a.launchesInFlight == 0 || isStopDue(a)) {
+      if ((isLaunchDue(a) && a.launchesInFlight == 0) || isStopDue(a)) {
         return true;
       }
     }
@@ -63,7 +63,7 @@
   private boolean isLaunchDue(Attempt a) {
     Job job = a.state == Attempt.State.LAUNCHING ? cluster.job(a.task.job()) : null;
     return a.state == Attempt.State.LAUNCHING
-        && (a.launchSent || job != null && job.isLaunchable(a.task.index()));
+        && (a.launchSent || (job != null && job.isLaunchable(a.task.index())));
   }
 
   private boolean isStopDue(Attempt a) {
@@ -81,7 +81,7 @@
         || m.address == null
         || now < m.nextCommandAt
         || !hasCommands(m)
-        || !unheard && (!m.up || m.isSilent(now))) {
+        || (!unheard && (!m.up || m.isSilent(now)))) {
       return null;
     }
     List<Command> commands = new ArrayList<>();
@@ -109,7 +109,7 @@
       cluster.unresponsiveMachines().markResponsive(m);
       cluster.directStatusReceived(m, report);
     }
-    if (executed || surelyNot && report != null) {
+    if (executed || (surelyNot && report != null)) {
       m.failedCommands = 0;
     } else {
       m.failedCommands = Math.min(m.failedCommands + 1, MAX_BACKOFFS);
--- a/src/main/java/org/saffronshore/cluster/Job.java
+++ b/src/main/java/org/saffronshore/cluster/Job.java
@@ -60,17 +60,17 @@
   int backoffCount;
   boolean outcomeWriteInFlight;
 
-  Job(JobSpec spec, long version, long submittedMs, BitSet done, int launchMark) {
+  Job(JobSpec spec, long version, long submittedAtMs, BitSet finishedTasks, int launchWatermark) {
     this.spec = spec;
     this.version = version;
-    this.submittedAtMs = submittedMs;
-    this.finishedTasks = done;
-    this.inheritedLaunchWatermark = launchMark;
-    this.launchWatermark = launchMark;
-    this.requestedLaunchWatermark = launchMark;
-    this.savedFinishedTasks = (BitSet) done.clone();
+    this.submittedAtMs = submittedAtMs;
+    this.finishedTasks = finishedTasks;
+    this.inheritedLaunchWatermark = launchWatermark;
+    this.launchWatermark = launchWatermark;
+    this.requestedLaunchWatermark = launchWatermark;
+    this.savedFinishedTasks = (BitSet) finishedTasks.clone();
     waitingTasks.set(0, spec.tasks());
-    waitingTasks.andNot(done);
+    waitingTasks.andNot(finishedTasks);
   }
 
   /** All attempts at a task that may be somewhere. */
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -217,7 +217,7 @@
   /** Whether the machine can be counted on for later: it works, stays, and is heard. */
   boolean isReliable(double now) {
     boolean leaving = failed || returning || hasPreemptionNotice();
-    boolean faulty = isQuarantined() || unresponsive || up && !reconciled && isSilent(now);
+    boolean faulty = isQuarantined() || unresponsive || (up && !reconciled && isSilent(now));
     return !leaving && !faulty;
   }
 
--- a/src/main/java/org/saffronshore/config/Settings.java
+++ b/src/main/java/org/saffronshore/config/Settings.java
@@ -12,8 +12,8 @@
 /**
  * The platform's settings file, checked. Fields that are not known here are ignored.
  *
- * @param laterStateRps what the state service will take from some moment on, without notice; as now
- *     if nothing is said
+ * @param nextStateRequestsPerS what the state service will take from some moment on, without
+ *     notice; as now if nothing is said
  * @param maxValueKb how long a value may be, now and later
  * @param maxTransactionWrites how many changes a transaction may have, now and later
  */
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -260,9 +260,9 @@
     if (!request.hasMethod("GET")) {
       reply.error(405, "GET only");
     } else if (types.machineTypes().isEmpty()
-        || !isStateServiceAvailable()
+        || (!isStateServiceAvailable()
             && (peers.anyPeerServedSince(state.lastResponseAt())
-                || peers.isCutOff(settings.heartbeatIntervalS()))) {
+                || peers.isCutOff(settings.heartbeatIntervalS())))) {
       reply.retryLater(503, "not ready", 1);
     } else {
       reply.json(200, Json.object().put("ok", true));
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -405,7 +405,7 @@
           }
           boolean surelyNot =
               answer.equals(org.saffronshore.http.Response.NOT_SENT)
-                  || answer.status() == 409 && report != null;
+                  || (answer.status() == 409 && report != null);
           cluster.batchCompleted(call, answer.status() == 200 && report != null, surelyNot, report);
           runDueWork();
         });
--- a/src/main/java/org/saffronshore/control/MachineTypeCache.java
+++ b/src/main/java/org/saffronshore/control/MachineTypeCache.java
@@ -103,9 +103,9 @@
   void persist() {
     boolean same =
         cloudResponse == null
-            || persisted.keySet().equals(machineTypes.keySet())
+            || (persisted.keySet().equals(machineTypes.keySet())
                 && machineTypes.values().stream()
-                    .allMatch(t -> t.equalsIgnoringPrices(persisted.get(t.name())));
+                    .allMatch(t -> t.equalsIgnoringPrices(persisted.get(t.name()))));
     if (same
         || !leadership.holdsStoreLease()
         || Json.bytes(cloudResponse).length > settings.maxValueKb() * 1024) {
--- a/src/main/java/org/saffronshore/control/PagedRecords.java
+++ b/src/main/java/org/saffronshore/control/PagedRecords.java
@@ -58,7 +58,7 @@
 
   /**
    * @param fillBytes how long a page may become by new entries; one entry alone may be longer
-   * @param mostBytes how long it may become as its entries grow
+   * @param maxBytes how long it may become as its entries grow
    */
   PagedRecords(String prefix, int fillBytes, int maxBytes) {
     this.prefix = prefix;
@@ -196,11 +196,11 @@
             page -> page.copiedTo.removeIf(copy -> copy.version == 0 && copy.entries.isEmpty()));
     for (Page page : pages.values()) {
       boolean waits = page.asking || !page.copiedTo.isEmpty() || page.bytes > maxBytes;
-      if (!page.dirty || waits || page.version == 0 && page.entries.isEmpty()) {
+      if (!page.dirty || waits || (page.version == 0 && page.entries.isEmpty())) {
         continue;
       }
       if (txn.writeCount() >= maxChanges
-          || !batch.pages.isEmpty() && bytes + page.bytes > maxTxnBytes) {
+          || (!batch.pages.isEmpty() && bytes + page.bytes > maxTxnBytes)) {
         break;
       }
       // Without this guard a write that is carried out late would put an older page over a newer
--- a/src/main/java/org/saffronshore/control/TermStore.java
+++ b/src/main/java/org/saffronshore/control/TermStore.java
@@ -448,7 +448,7 @@
   void saveRegistry() {
     if (registryWriteInFlight
         || loop.now() < registryRetryAt
-        || !cluster.registry().hasPendingWrites() && !registry.splitting()) {
+        || (!cluster.registry().hasPendingWrites() && !registry.splitting())) {
       return;
     }
     for (Machine m :
--- a/src/main/java/org/saffronshore/control/UserApi.java
+++ b/src/main/java/org/saffronshore/control/UserApi.java
@@ -125,8 +125,8 @@
     if (types.get().values().stream().noneMatch(t -> t.fits(job))) {
       return "a task fits no machine type that the job allows";
     }
-    if (team.maxCpus() > 0 && job.cpus() > team.maxCpus()
-        || team.maxGpus() > 0 && job.gpus() > team.maxGpus()) {
+    if ((team.maxCpus() > 0 && job.cpus() > team.maxCpus())
+        || (team.maxGpus() > 0 && job.gpus() > team.maxGpus())) {
       return "a task is beyond the limit of its team";
     }
     return null;
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -39,6 +39,8 @@
   }
 
   /**
+   * Counts an open job.
+   *
    * @param fresh whether the job came just now, and was not found waiting
    */
   public void jobArrived(JobSpec job, boolean fresh, double now) {
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -23,6 +23,8 @@
   private DisplacedTasks() {}
 
   /**
+   * Finds the tasks to be displaced.
+   *
    * @param scarce types of which the cloud has no machine left, of any kind
    * @param late what waits for longer than a machine takes to boot
    */
--- a/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
+++ b/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
@@ -52,6 +52,8 @@
   }
 
   /**
+   * Works out how many machines of each kind to rent.
+   *
    * @param perZone how many machines each zone has, so that new ones go where there are fewest
    * @param available whether the cloud is thought to have machines of a kind
    */
--- a/src/main/java/org/saffronshore/http/AdmissionQueue.java
+++ b/src/main/java/org/saffronshore/http/AdmissionQueue.java
@@ -28,9 +28,9 @@
   /**
    * @param capacity how many requests of each rank may wait
    */
-  public AdmissionQueue(EventLoop loop, Map<RequestClass, Integer> most) {
+  public AdmissionQueue(EventLoop loop, Map<RequestClass, Integer> capacity) {
     this.loop = loop;
-    this.capacity = most;
+    this.capacity = capacity;
     for (RequestClass rank : RequestClass.values()) {
       waiting.put(rank, new ArrayDeque<>());
     }
--- a/src/main/java/org/saffronshore/http/ConnectionLimit.java
+++ b/src/main/java/org/saffronshore/http/ConnectionLimit.java
@@ -14,8 +14,8 @@
   private final int max;
   private int inUse;
 
-  public ConnectionLimit(int most) {
-    this.max = most;
+  public ConnectionLimit(int max) {
+    this.max = max;
   }
 
   /** Takes a socket; false when all are in use. */
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -32,6 +32,8 @@
  * A client that keeps idle connections for reuse. A connection carries one request at a time; after
  * a time-out it is closed, and the request counts as lost.
  */
+@SuppressWarnings(
+    "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
 public final class HttpClient implements Client {
   /** Watches of the state service have no size limit; this bounds what a node takes into memory. */
   private static final int MAX_ANSWER = 16 * 1024 * 1024;
--- a/src/main/java/org/saffronshore/http/HttpServer.java
+++ b/src/main/java/org/saffronshore/http/HttpServer.java
@@ -1,5 +1,7 @@
 package org.saffronshore.http;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -29,6 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Serves HTTP/1.1 on one address. Connections stay open between requests. */
+@SuppressWarnings(
+    "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
 public final class HttpServer {
   /** The longest body that the protocol lets anyone send. */
   public static final int MAX_BODY = 64 * 1024;
@@ -96,7 +100,7 @@
           true,
           400,
           Responder.CONTENT_TYPE_JSON,
-          "{\"error\":\"the body is too long\"}".getBytes(),
+          "{\"error\":\"the body is too long\"}".getBytes(UTF_8),
           0);
     }
   }
--- a/src/main/java/org/saffronshore/http/Response.java
+++ b/src/main/java/org/saffronshore/http/Response.java
@@ -7,6 +7,7 @@
  * What became of a request of ours. A request that was not sent cannot take effect; one that was
  * lost may have taken effect, or may yet do so at any later time.
  */
+@SuppressWarnings("ArrayRecordComponent") // The body is handed on, never compared or changed.
 public record Response(int status, byte[] body) {
   public static final Response NOT_SENT = new Response(-1, new byte[0]);
   public static final Response LOST = new Response(0, new byte[0]);
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -147,7 +147,7 @@
       boolean candidate,
       boolean peerServed,
       boolean served) {
-    if (holdsLease() || served && (!peerServed || !candidate && askedTerm != leaderTerm)) {
+    if (holdsLease() || (served && (!peerServed || (!candidate && askedTerm != leaderTerm)))) {
       return false;
     }
     return leaseGrants.grant(node, life, askedTerm);
--- a/src/main/java/org/saffronshore/leadership/LeaseGrants.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseGrants.java
@@ -25,12 +25,12 @@
   /**
    * @param leaseDurationS how long a lease lasts
    */
-  public LeaseGrants(EventLoop loop, double lengthS, int nodes) {
+  public LeaseGrants(EventLoop loop, double leaseDurationS, int nodes) {
     this.loop = loop;
-    this.leaseDurationS = lengthS;
+    this.leaseDurationS = leaseDurationS;
     this.majority = nodes / 2 + 1;
     // An earlier incarnation may have granted a lease that this one does not know of.
-    this.noGrantsUntil = loop.now() + Settings.maxLocalDuration(lengthS);
+    this.noGrantsUntil = loop.now() + Settings.maxLocalDuration(leaseDurationS);
   }
 
   public int majority() {
@@ -45,7 +45,9 @@
     String asking = node + "/" + life;
     double now = loop.now();
     // Several may get the lease for one term, one after another; the state service lets one lead.
-    if (now < noGrantsUntil || term < holderTerm || !asking.equals(holder) && now < grantedUntil) {
+    if (now < noGrantsUntil
+        || term < holderTerm
+        || (!asking.equals(holder) && now < grantedUntil)) {
       return false;
     }
     holder = asking;
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -37,11 +37,12 @@
   private VoteRequest lastSeen;
   private int seen;
 
-  StateServiceVoting(EventLoop loop, StateClient state, String node, String life, double roundS) {
+  StateServiceVoting(
+      EventLoop loop, StateClient state, String node, String incarnation, double roundS) {
     this.loop = loop;
     this.state = state;
     this.node = node;
-    this.incarnation = life;
+    this.incarnation = incarnation;
     this.roundS = roundS;
   }
 
--- a/src/main/java/org/saffronshore/leadership/StoreLease.java
+++ b/src/main/java/org/saffronshore/leadership/StoreLease.java
@@ -24,10 +24,10 @@
   /** Which lease a scheduled renewal belongs to; renewals of earlier ones are dropped. */
   private int generation;
 
-  StoreLease(EventLoop loop, StateClient state, double lifeS, Runnable onExpired) {
+  StoreLease(EventLoop loop, StateClient state, double durationS, Runnable onExpired) {
     this.loop = loop;
     this.state = state;
-    this.durationS = lifeS;
+    this.durationS = durationS;
     this.onExpired = onExpired;
   }
 
--- a/src/main/java/org/saffronshore/peer/PeerResponse.java
+++ b/src/main/java/org/saffronshore/peer/PeerResponse.java
@@ -21,7 +21,7 @@
    * The cancellations that a controller learned of lately.
    *
    * @param jobs the cancelled jobs
-   * @param coversS for how many seconds back none is missing
+   * @param completeForS for how many seconds back none is missing
    */
   public record Cancellations(List<String> jobs, double completeForS) {}
 
--- a/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
+++ b/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
@@ -29,7 +29,7 @@
     static Try of(JobSpec job, boolean guaranteed) {
       return new Try(
           job.team(),
-          job.priority().ordinal(),
+          job.priority().rank(),
           guaranteed,
           job.cpus(),
           job.gpus(),
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -27,7 +27,7 @@
   private final Predicate<TaskId> hasTraceOf;
   private final Set<String> images;
 
-  /** The lowest class among the tasks that could be stopped, as an ordinal. */
+  /** The lowest class among the tasks that could be stopped, by its rank. */
   private int lowest = Integer.MAX_VALUE;
 
   private boolean modified;
@@ -41,14 +41,14 @@
       String id,
       MachineKind kind,
       Resources capacity,
-      Predicate<TaskId> barred,
+      Predicate<TaskId> hasTraceOf,
       Set<String> images) {
     this.id = id;
     this.kind = kind;
     this.cpus = capacity.cpus;
     this.free = capacity;
     this.freeAfterStops = capacity.copy();
-    this.hasTraceOf = barred;
+    this.hasTraceOf = hasTraceOf;
     this.images = images;
   }
 
@@ -60,7 +60,7 @@
       teams.merge(slot.job().team(), 1, Integer::sum);
       if (!slot.exemptFromPreemption()) {
         preemptibleTasks.add(slot);
-        lowest = Math.min(lowest, slot.job().priority().ordinal());
+        lowest = Math.min(lowest, slot.job().priority().rank());
       }
     }
   }
@@ -77,7 +77,7 @@
 
   /** Whether it has tasks of any other team. */
   boolean hasOtherTeams(String team) {
-    return teams.size() > 1 || teams.size() == 1 && !teams.containsKey(team);
+    return teams.size() > 1 || (teams.size() == 1 && !teams.containsKey(team));
   }
 
   void evict(PlacedTask slot) {
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -23,11 +23,11 @@
    * @param tasksPerZone how many of its other tasks each zone has, where the job's rules ask for
    *     that
    */
-  public PendingJob(JobSpec job, long order, BitSet tasks, Map<String, Integer> perZone) {
+  public PendingJob(JobSpec job, long order, BitSet tasks, Map<String, Integer> tasksPerZone) {
     this.job = job;
     this.order = order;
     this.tasks = tasks;
-    this.tasksPerZone = perZone.isEmpty() ? new HashMap<>(4) : new HashMap<>(perZone);
+    this.tasksPerZone = tasksPerZone.isEmpty() ? new HashMap<>(4) : new HashMap<>(tasksPerZone);
     this.next = tasks.nextSetBit(0);
     this.remaining = tasks.cardinality();
   }
--- a/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
@@ -78,7 +78,7 @@
     List<PendingJob> ordered = new ArrayList<>(jobs);
     ordered.sort(
         Comparator.comparing((PendingJob p) -> !p.isOverdue())
-            .thenComparing(p -> -p.job.priority().ordinal())
+            .thenComparing(p -> -p.job.priority().rank())
             .thenComparing(p -> p.order));
     for (PendingJob p : ordered) {
       if (!p.isEmpty() && teams.containsKey(p.job.team())) {
@@ -134,7 +134,7 @@
           .get(name)
           .sort(
               Comparator.comparing((Entry e) -> !e.overdue())
-                  .thenComparingInt(e -> -e.job().priority().ordinal()));
+                  .thenComparingInt(e -> -e.job().priority().rank()));
     }
   }
 
@@ -184,7 +184,7 @@
         name,
         entry.overdue(),
         team.withinGuarantee(job),
-        job.priority().ordinal(),
+        job.priority().rank(),
         team.fraction(tuning.cost(job)),
         rank);
   }
@@ -361,7 +361,7 @@
   }
 
   private static boolean mayHaveVictims(MachineView host, JobSpec job, boolean guaranteed) {
-    boolean lower = host.hasLowerPriority(job.priority().ordinal());
+    boolean lower = host.hasLowerPriority(job.priority().rank());
     boolean others = guaranteed && host.hasOtherTeams(job.team());
     return (lower || others) && host.kind.allows(job) && !host.isReserved();
   }
@@ -386,7 +386,7 @@
         break;
       }
       boolean lower =
-          slot.job().priority().ordinal() < job.priority().ordinal()
+          slot.job().priority().rank() < job.priority().rank()
               && (guaranteed || slot.job().team().equals(job.team()));
       Resources sum = taken.computeIfAbsent(slot.job().team(), t -> new Resources(0, 0, 0));
       sum.add(slot.job());
@@ -409,12 +409,12 @@
       if (owner == null) {
         continue;
       }
-      boolean lower = slot.job().priority().ordinal() < job.priority().ordinal();
+      boolean lower = slot.job().priority().rank() < job.priority().rank();
       boolean own = slot.job().team().equals(job.team());
       // Of two teams only the one within its guarantee may stop the other, or they would take turns
       // at it.
-      if (lower && (guaranteed || own)
-          || (lower || guaranteed && !own) && owner.beyondGuarantee(slot.job())) {
+      if ((lower && (guaranteed || own))
+          || ((lower || (guaranteed && !own)) && owner.beyondGuarantee(slot.job()))) {
         candidates.add(slot);
       }
     }
--- a/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
@@ -31,7 +31,7 @@
   /**
    * Tasks of a job that the team's limit holds back.
    *
-   * @param unaccounted whether only by what may be on machines that are not accounted for
+   * @param onlyByUnreconciled whether only by what may be on machines that are not accounted for
    * @param counted what counted against the limit then
    */
   public record QuotaLimitedTasks(
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -23,8 +23,8 @@
 
   private final Resources possiblyHeld = new Resources(0, 0, 0);
 
-  public Team(Settings.TeamQuota rights, double weight) {
-    this.quota = rights;
+  public Team(Settings.TeamQuota quota, double weight) {
+    this.quota = quota;
     this.weight = weight;
   }
 
@@ -112,8 +112,8 @@
 
   /** Whether without these tasks of its own the team would have less than it is guaranteed. */
   boolean guaranteeReachedBy(Resources stopped) {
-    return quota.guaranteedCpus() > 0 && cpus - stopped.cpus < quota.guaranteedCpus() - EPSILON
-        || quota.guaranteedGpus() > 0 && gpus - stopped.gpus < quota.guaranteedGpus() - EPSILON;
+    return (quota.guaranteedCpus() > 0 && cpus - stopped.cpus < quota.guaranteedCpus() - EPSILON)
+        || (quota.guaranteedGpus() > 0 && gpus - stopped.gpus < quota.guaranteedGpus() - EPSILON);
   }
 
   /** The fraction of its fair share that the team would have with one more task of this cost. */
--- a/src/main/java/org/saffronshore/state/JobReader.java
+++ b/src/main/java/org/saffronshore/state/JobReader.java
@@ -7,6 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
@@ -36,10 +37,10 @@
   /**
    * @param onOutcome is told of every end that is read
    */
-  JobReader(StateClient state, JobCache cache, BiConsumer<String, JobStatus> onEnd) {
+  JobReader(StateClient state, JobCache cache, BiConsumer<String, JobStatus> onOutcome) {
     this.state = state;
     this.cache = cache;
-    this.onOutcome = onEnd;
+    this.onOutcome = onOutcome;
   }
 
   /**
@@ -170,7 +171,9 @@
    * key.
    */
   private void listOutcomes(
-      TreeSet<String> left, Map<String, JobOutcome> read, Consumer<Map<String, JobOutcome>> then) {
+      NavigableSet<String> left,
+      Map<String, JobOutcome> read,
+      Consumer<Map<String, JobOutcome>> then) {
     if (left.isEmpty()) {
       then.accept(read);
       return;
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -82,6 +82,8 @@
   }
 
   /**
+   * The stored form of an outcome.
+   *
    * @param atMs the time of day: the times of jobs that need this one count from then
    */
   public static JsonNode outcomeRecord(JobStatus status, long atMs) {
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -164,7 +164,7 @@
       prove(next);
       boolean fits =
           !next.alone && bytes + next.bytes <= MAX_BYTES && guards + next.guards() <= maxGuards;
-      if (ids.contains(next.job.id()) || !batch.isEmpty() && !fits) {
+      if (ids.contains(next.job.id()) || (!batch.isEmpty() && !fits)) {
         break;
       }
       batch.add(waiting.poll());
--- a/src/main/java/org/saffronshore/wire/FieldReader.java
+++ b/src/main/java/org/saffronshore/wire/FieldReader.java
@@ -96,7 +96,7 @@
 
   /** A whole number that has to be there and in a range. */
   public long count(String field, long least, long most) throws InvalidFieldException {
-    double number = number(field, least, most);
+    double number = number(field, (double) least, (double) most);
     if (number != Math.rint(number)) {
       throw new InvalidFieldException(at(field), "must be a whole number");
     }
--- a/src/main/java/org/saffronshore/wire/Heartbeat.java
+++ b/src/main/java/org/saffronshore/wire/Heartbeat.java
@@ -194,8 +194,8 @@
       throws IOException, InvalidFieldException {
     boolean whole =
         value == JsonToken.VALUE_NUMBER_INT
-            || value == JsonToken.VALUE_NUMBER_FLOAT
-                && p.getDoubleValue() == Math.rint(p.getDoubleValue());
+            || (value == JsonToken.VALUE_NUMBER_FLOAT
+                && p.getDoubleValue() == Math.rint(p.getDoubleValue()));
     long n = whole && Math.abs(p.getDoubleValue()) < 0x1p63 ? p.getValueAsLong() : -1;
     if (n < 0) {
       throw new InvalidFieldException(field, "must be a whole number that is not negative");
@@ -205,6 +205,6 @@
 
   /** Whether this message was made after another one of the same worker. */
   public boolean isNewerThan(long otherSession, long otherSeq) {
-    return epoch > otherSession || epoch == otherSession && sequence > otherSeq;
+    return epoch > otherSession || (epoch == otherSession && sequence > otherSeq);
   }
 }
--- a/src/main/java/org/saffronshore/wire/Priority.java
+++ b/src/main/java/org/saffronshore/wire/Priority.java
@@ -1,16 +1,23 @@
 package org.saffronshore.wire;
 
-/** Priority classes, lowest first, so that the ordinal is the rank. */
+/** Priority classes, lowest first. */
 public enum Priority {
-  IDLE("idle"),
-  STANDARD("standard"),
-  URGENT("urgent"),
-  CRITICAL("critical");
+  IDLE("idle", 0),
+  STANDARD("standard", 1),
+  URGENT("urgent", 2),
+  CRITICAL("critical", 3);
 
   private final String wireName;
+  private final int rank;
 
-  Priority(String wire) {
-    this.wireName = wire;
+  Priority(String wireName, int rank) {
+    this.wireName = wireName;
+    this.rank = rank;
+  }
+
+  /** The rank of the class; a higher one may preempt a lower one. */
+  public int rank() {
+    return rank;
   }
 
   public String wireName() {
