--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -10,21 +10,24 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.util.List;
+import java.util.Objects;
 import java.util.concurrent.Callable;
 import org.saffronshore.config.Settings;
-import org.saffronshore.wire.Json;
+import org.saffronshore.wire.InvalidFieldException;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller for a moment on loopback, against nothing, so that the build can archive the
- * classes that a start needs.
+ * Runs a controller on loopback for a short time, without the services that it needs, so that the
+ * build can archive the classes that it loads (class data sharing). This shortens the start of a
+ * controller.
  */
 @Command(
     name = "train-cds",
     hidden = true,
     description = "Runs for a moment, for the build to archive classes.")
 final class CdsTrainingCommand implements Callable<Integer> {
-  /** Classes that only a leader loads, below the package of the project. */
+  /** Classes that only a leader or a candidate loads, below {@link #BASE_PACKAGE}. */
   private static final List<String> LEADER_CLASSES =
       List.of(
           "cluster.Cluster",
@@ -85,57 +88,71 @@
           "leadership.LeaseRequest$Role",
           "leadership.StoreLease");
 
-  private static final long WHILE_MS = 1_500;
+  private static final String BASE_PACKAGE = "org.saffronshore.";
+  private static final String SETTINGS_RESOURCE = "cds-training.json";
+  private static final long DURATION_MS = 1_500;
+  private static final long ROUND_INTERVAL_MS = 100;
+  private static final List<String> POST_PATHS =
+      List.of("/work", "/v1/report", "/work/wk-1/cancel");
+  private static final List<String> POST_BODIES = List.of("{}", "{\"Uid\":\"wk-1\"}", "not json");
 
   @Override
-  public Integer call() throws Exception {
+  public Integer call() throws IOException, InvalidFieldException, InterruptedException {
     int port = freePort();
     int peerPort = freePort();
-    Settings settings;
-    try (InputStream in = CdsTrainingCommand.class.getResourceAsStream("cds-training.json")) {
-      String text =
-          new String(in.readAllBytes(), UTF_8)
-              .replace("${port}", "" + port)
-              .replace("${peer}", "" + peerPort);
-      settings = Settings.parse(Json.parse(text.getBytes(UTF_8)));
-    }
-    ControllerCommand.run(settings);
-    loadAll();
-    var client = HttpClient.newHttpClient();
-    String[] bodies = {"{}", "{\"Uid\":\"wk-1\"}", "not json"};
-    long until = System.currentTimeMillis() + WHILE_MS;
+    ControllerCommand.start(settings(port, peerPort));
+    loadLeaderClasses();
+    HttpClient client = HttpClient.newHttpClient();
+    long until = System.currentTimeMillis() + DURATION_MS;
     while (System.currentTimeMillis() < until) {
-      for (String body : bodies) {
-        for (String path : new String[] {"/work", "/v1/report", "/work/wk-1/cancel"}) {
-          send(client, port, path, body);
-        }
-      }
-      send(client, port, "/healthz", null);
-      send(client, port, "/work/wk-1", null);
-      send(client, peerPort, "/metrics", null);
-      Thread.sleep(100);
+      sendRequests(client, port, peerPort);
+      Thread.sleep(ROUND_INTERVAL_MS);
+    }
+    return CommandLine.ExitCode.OK;
+  }
+
+  private static Settings settings(int port, int peerPort)
+      throws IOException, InvalidFieldException {
+    try (InputStream resource =
+        Objects.requireNonNull(CdsTrainingCommand.class.getResourceAsStream(SETTINGS_RESOURCE))) {
+      String template = new String(resource.readAllBytes(), UTF_8);
+      return Settings.parse(
+          template
+              .replace("${port}", Integer.toString(port))
+              .replace("${peer}", Integer.toString(peerPort))
+              .getBytes(UTF_8));
     }
-    return 0;
   }
 
-  private static void send(HttpClient client, int port, String path, String body)
+  private static void sendRequests(HttpClient client, int port, int peerPort)
       throws InterruptedException {
-    var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
-    if (body != null) {
-      request.POST(HttpRequest.BodyPublishers.ofString(body));
+    for (String body : POST_BODIES) {
+      for (String path : POST_PATHS) {
+        send(client, request(port, path).POST(HttpRequest.BodyPublishers.ofString(body)));
+      }
     }
+    send(client, request(port, "/healthz"));
+    send(client, request(port, "/work/wk-1"));
+    send(client, request(peerPort, "/metrics"));
+  }
+
+  private static HttpRequest.Builder request(int port, String path) {
+    return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
+  }
+
+  private static void send(HttpClient client, HttpRequest.Builder request)
+      throws InterruptedException {
     try {
       client.send(request.build(), HttpResponse.BodyHandlers.discarding());
     } catch (IOException e) {
-      // The controller is just starting; the next round asks again.
+      // The controller is still starting; the next round repeats the request.
     }
   }
 
-  /** Classes that only a served controller would touch. */
-  private static void loadAll() {
+  private static void loadLeaderClasses() {
     for (String name : LEADER_CLASSES) {
       try {
-        Class.forName("org.saffronshore." + name);
+        Class.forName(BASE_PACKAGE + name);
       } catch (ClassNotFoundException e) {
         throw new IllegalStateException(
             "class-data-sharing training names an unknown class: " + name, e);
--- a/src/main/java/org/saffronshore/cli/ControllerCommand.java
+++ b/src/main/java/org/saffronshore/cli/ControllerCommand.java
@@ -1,6 +1,5 @@
 package org.saffronshore.cli;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,7 +11,6 @@
 import org.saffronshore.http.HttpClient;
 import org.saffronshore.http.NettyEventLoop;
 import org.saffronshore.wire.InvalidFieldException;
-import org.saffronshore.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
@@ -25,69 +23,72 @@
     mixinStandardHelpOptions = true,
     versionProvider = Main.Version.class)
 final class ControllerCommand implements Callable<Integer> {
-  /** The exit status that means: do not exit, the loop goes on. */
-  static final int RUNNING = -1;
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerCommand.class);
+  private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
-  private static final int BAD_SETTINGS = 78;
-  private static final int CANNOT_SERVE = 69;
+  /** Requests to other services may use one in so many of the sockets of this process. */
+  private static final int SOCKETS_PER_CLIENT_CONNECTION = 6;
+
+  private static final int MIN_CLIENT_CONNECTIONS = 8;
 
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
       description = "the platform's settings (JSON)")
+  @SuppressWarnings("NullAway.Init") // Set by picocli, which requires the option.
   private Path config;
 
   @Override
   public Integer call() {
-    Logger log = LoggerFactory.getLogger(ControllerCommand.class);
+    return serve().code();
+  }
+
+  private ExitStatus serve() {
     Settings settings;
     try {
-      JsonNode root = Json.parse(Files.readAllBytes(config));
-      if (root == null) {
-        throw new InvalidFieldException("settings", "is not JSON");
-      }
-      settings = Settings.parse(root);
+      settings = Settings.parse(Files.readAllBytes(config));
     } catch (IOException e) {
-      log.error("the settings file {} cannot be read: {}", config, e.toString());
-      return BAD_SETTINGS;
+      LOG.error("Cannot read the settings file: file={} error={}", config, e.toString());
+      return ExitStatus.INVALID_SETTINGS;
     } catch (InvalidFieldException e) {
-      log.error("the settings file {} is not valid: {}", config, e.getMessage());
-      return BAD_SETTINGS;
+      LOG.error("The settings file is not valid: file={} error={}", config, e.getMessage());
+      return ExitStatus.INVALID_SETTINGS;
     }
     try {
-      run(settings);
+      start(settings);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return CANNOT_SERVE;
+      return ExitStatus.CANNOT_SERVE;
     } catch (Exception e) {
-      log.error(
-          "{} cannot serve on {} and {}: {}",
+      // Netty throws the failure to bind an address as an undeclared IOException.
+      LOG.error(
+          "Cannot serve: node={} address={} peer_address={} error={}",
           settings.node(),
           settings.listenAddress(),
           settings.peerListenAddress(),
           e.toString());
-      return CANNOT_SERVE;
+      return ExitStatus.CANNOT_SERVE;
     }
-    log.info(
-        "{} serves on {}, and its peers on {}",
+    LOG.info(
+        "Serving: node={} address={} peer_address={}",
         settings.node(),
         settings.listenAddress(),
         settings.peerListenAddress());
-    return RUNNING;
+    return ExitStatus.RUNNING;
   }
 
-  static void run(Settings settings) throws InterruptedException {
+  /** Starts a controller, which runs on its event loop after this returns. */
+  static void start(Settings settings) throws InterruptedException {
     NettyEventLoop loop = new NettyEventLoop();
+    int clientConnections =
+        Math.max(MIN_CLIENT_CONNECTIONS, settings.maxSockets() / SOCKETS_PER_CLIENT_CONNECTION);
     HttpClient client =
         new HttpClient(
-            loop,
-            loop.group(),
-            new ConnectionLimit(Math.max(8, settings.maxSockets() / 6)),
-            HttpClient.IDLE_S);
-    Controller node =
-        new Controller(loop, settings, client, RandomGenerator.of("L64X128MixRandom"));
-    node.serve(loop.group());
-    loop.execute(node::start);
+            loop, loop.group(), new ConnectionLimit(clientConnections), HttpClient.IDLE_S);
+    Controller controller =
+        new Controller(loop, settings, client, RandomGenerator.of(RANDOM_ALGORITHM));
+    controller.serve(loop.group());
+    loop.execute(controller::start);
   }
 }
--- a/src/main/java/org/saffronshore/cli/Logging.java
+++ b/src/main/java/org/saffronshore/cli/Logging.java
@@ -2,26 +2,35 @@
 
 import java.util.Locale;
 import java.util.Set;
+import org.jspecify.annotations.Nullable;
 
-/**
- * Sets logging up before the first logger is made: to standard error, at the level that the
- * platform names.
- */
+/** Sets up logging: to standard error, at the level that the platform names. */
 final class Logging {
+  private static final String PROPERTY_PREFIX = "org.slf4j.simpleLogger.";
+  private static final String DEFAULT_LEVEL = "info";
   private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug", "trace");
 
   private Logging() {}
 
-  static void setUp(String level) {
-    String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    System.setProperty("org.slf4j.simpleLogger.logFile", "System.err");
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "info");
-    System.setProperty(
-        "org.slf4j.simpleLogger.log.org.saffronshore", LEVELS.contains(wanted) ? wanted : "info");
-    System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
-    System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
-    System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX");
-    System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-    System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
+  /**
+   * Sets up logging, before the first logger is created.
+   *
+   * @param levelName the level of this program's loggers in any case; the default level where it is
+   *     null or unknown
+   */
+  static void setUp(@Nullable String levelName) {
+    String level = levelName == null ? DEFAULT_LEVEL : levelName.toLowerCase(Locale.ROOT);
+    set("logFile", "System.err");
+    set("defaultLogLevel", DEFAULT_LEVEL);
+    set("log.org.saffronshore", LEVELS.contains(level) ? level : DEFAULT_LEVEL);
+    set("log.io.netty", "error");
+    set("showDateTime", "true");
+    set("dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX");
+    set("showThreadName", "false");
+    set("showShortLogName", "true");
+  }
+
+  private static void set(String property, String value) {
+    System.setProperty(PROPERTY_PREFIX + property, value);
   }
 }
--- a/src/main/java/org/saffronshore/cli/Main.java
+++ b/src/main/java/org/saffronshore/cli/Main.java
@@ -4,10 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/**
- * The program: a thin layer over the library. Its parts are subcommands; today there is the
- * controller.
- */
+/** The program. What it does is in its subcommands. */
 @Command(
     name = "saffronshore",
     description = "A cluster scheduler that rents its machines and survives failures.",
@@ -15,13 +12,15 @@
     versionProvider = Main.Version.class,
     subcommands = {ControllerCommand.class, CdsTrainingCommand.class})
 public final class Main implements Callable<Integer> {
-  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec
+  @SuppressWarnings("NullAway.Init") // Set by picocli.
+  private CommandLine.Model.CommandSpec spec;
 
-  /** Runs a subcommand; a controller goes on running after this returns. */
+  /** Runs a subcommand. A controller runs on its event loop after this returns. */
   public static void main(String[] args) {
     Logging.setUp(System.getenv("LOG_LEVEL"));
     int status = new CommandLine(new Main()).execute(args);
-    if (status != ControllerCommand.RUNNING) {
+    if (status != ExitStatus.RUNNING.code()) {
       System.exit(status);
     }
   }
@@ -32,7 +31,7 @@
     return CommandLine.ExitCode.USAGE;
   }
 
-  /** The version that the build wrote into the jar. */
+  /** The version that the build wrote into the manifest of the jar. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/org/saffronshore/config/Settings.java
+++ b/src/main/java/org/saffronshore/config/Settings.java
@@ -99,6 +99,19 @@
   /**
    * Reads the platform's settings file.
    *
+   * @throws InvalidFieldException when it is not JSON, or names the first field that is not valid
+   */
+  public static Settings parse(byte[] file) throws InvalidFieldException {
+    JsonNode root = Json.parse(file);
+    if (root == null) {
+      throw new InvalidFieldException("settings", "is not JSON");
+    }
+    return parse(root);
+  }
+
+  /**
+   * Reads the settings from a tree.
+   *
    * @throws InvalidFieldException names the first field that is not valid
    */
   public static Settings parse(JsonNode root) throws InvalidFieldException {
