--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -1,5 +1,6 @@
 package org.saffronshore.control;
 
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.CommandBatch;
 import org.saffronshore.cluster.Machine;
@@ -15,6 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Sends direct commands to workers, a limited number at a time, and takes their responses. */
+@NullMarked
 final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
   private static final String COMMAND_PATH = "/do";
--- a/src/main/java/org/saffronshore/control/HeartbeatService.java
+++ b/src/main/java/org/saffronshore/control/HeartbeatService.java
@@ -1,6 +1,7 @@
 package org.saffronshore.control;
 
 import java.util.List;
+import org.jspecify.annotations.NullMarked;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Machine;
@@ -10,6 +11,7 @@
 import org.saffronshore.wire.Heartbeat;
 
 /** Takes the heartbeats of workers, and responds to them for the controllers. */
+@NullMarked
 final class HeartbeatService {
   private final LeaderTerm term;
   private final Cluster cluster;
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -1,6 +1,7 @@
 package org.saffronshore.control;
 
 import java.util.List;
+import org.jspecify.annotations.NullMarked;
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.cluster.Job;
@@ -16,6 +17,7 @@
  * the cluster closer to what the open jobs need: tasks to machines, finished tasks to the state
  * service. It does nothing while the leadership does not hold.
  */
+@NullMarked
 final class Leader {
   private final Settings settings;
   private final QuotaMetrics quotaMetrics;
--- a/src/main/java/org/saffronshore/control/LeaderServices.java
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -1,6 +1,7 @@
 package org.saffronshore.control;
 
 import java.util.random.RandomGenerator;
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.cloud.CloudClient;
 import org.saffronshore.config.Settings;
@@ -10,7 +11,8 @@
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.StateClient;
 
-/** What a controller lends each of its terms as leader; all of it outlives the term. */
+/** The parts of a controller that a term as leader uses; all of them outlive the term. */
+@NullMarked
 record LeaderServices(
     EventLoop loop,
     Settings settings,
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -1,6 +1,7 @@
 package org.saffronshore.control;
 
 import java.util.function.DoubleSupplier;
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.config.Settings;
 import org.saffronshore.http.EventLoop;
@@ -8,6 +9,7 @@
 import org.saffronshore.state.StateClient;
 
 /** Steps down where another controller could do more with the leadership than this one. */
+@NullMarked
 final class LeadershipMonitor {
   private final EventLoop loop;
   private final StateClient state;
--- a/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
+++ b/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
@@ -1,6 +1,7 @@
 package org.saffronshore.control;
 
 import java.util.Set;
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.OperatorSettings;
 import org.saffronshore.state.GetResult;
 import org.saffronshore.state.Keys;
@@ -10,6 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Reads the operators' settings from the state service, and keeps what was read last. */
+@NullMarked
 final class OperatorSettingsReader {
   private static final Logger LOG = LoggerFactory.getLogger(OperatorSettingsReader.class);
 
--- a/src/main/java/org/saffronshore/control/QuotaMetrics.java
+++ b/src/main/java/org/saffronshore/control/QuotaMetrics.java
@@ -3,8 +3,10 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.scheduling.QuotaUsage;
 import org.saffronshore.scheduling.SchedulingPlan;
@@ -14,6 +16,7 @@
  * Metrics of what counts against each team's quota, and of cycles in which a quota limited tasks:
  * of the last cycle of this controller, and nothing while it does not lead.
  */
+@NullMarked
 final class QuotaMetrics {
   private static final String LIMITED_CYCLES = "cycles_held_back_by_limit";
 
@@ -74,7 +77,7 @@
   }
 
   private void countLimitedCycle(String team, boolean onlyByUnreconciled) {
-    LimitedCycles cycles = limitedCycles.get(team);
+    LimitedCycles cycles = Objects.requireNonNull(limitedCycles.get(team), team);
     if (onlyByUnreconciled) {
       cycles.byUnreconciled++;
     } else {
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
+import org.jspecify.annotations.NullMarked;
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.admin.OperatorSettings;
 import org.saffronshore.cluster.Attempt;
@@ -20,6 +21,7 @@
 import org.slf4j.LoggerFactory;
 
 /** One term's scheduling cycles: full ones once in a period, and others soon after a change. */
+@NullMarked
 final class SchedulingLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
--- a/src/main/java/org/saffronshore/control/package-info.java
+++ b/src/main/java/org/saffronshore/control/package-info.java
@@ -4,7 +4,7 @@
  * as leader and runs its loops: heartbeats, commands, scheduling cycles and the checks that make it
  * step down.
  *
- * <p>This is the package that knows all others; none but {@code cli} uses it. Decisions and formats
+ * <p>It depends on all other packages, and only {@code cli} depends on it. Decisions and formats
  * belong elsewhere: to {@code scheduling}, {@code cluster} and {@code failover}, and to {@code
  * wire}, {@code peer} and {@code state}.
  */
--- a/src/main/java/org/saffronshore/failover/TermTransactions.java
+++ b/src/main/java/org/saffronshore/failover/TermTransactions.java
@@ -76,7 +76,7 @@
 
   private void stepDownIfSuperseded(CommitResult result) {
     if (result.conflictingKeys().contains(Keys.LEADER)) {
-      term.stepDown("its key is gone");
+      term.stepDown("the leader's key is not its own any more");
     }
   }
 }
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -107,7 +107,7 @@
     if (fencingToken <= number) {
       return false;
     }
-    stepDown("worker " + machine + " has seen token " + fencingToken);
+    stepDown("worker " + machine + " has seen fencing token " + fencingToken);
     return true;
   }
 
