--- /dev/null
+++ b/src/main/java/org/saffronshore/api/WorkerApi.java
@@ -0,0 +1,142 @@
+package org.saffronshore.api;
+
+import java.util.Optional;
+import org.jspecify.annotations.Nullable;
+import org.saffronshore.admin.Metrics;
+import org.saffronshore.http.EventLoop;
+import org.saffronshore.http.Request;
+import org.saffronshore.http.Responder;
+import org.saffronshore.peer.HeartbeatRelay;
+import org.saffronshore.wire.Heartbeat;
+import org.saffronshore.wire.InvalidFieldException;
+import org.saffronshore.wire.RedirectResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Receives heartbeats of workers. The leader responds to them; any other controller redirects the
+ * worker to the leader, or relays the heartbeat there when the worker cannot reach it.
+ */
+public final class WorkerApi {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerApi.class);
+
+  private static final int OK = 200;
+
+  /** Workers take this status as a redirect to another controller. */
+  private static final int MISDIRECTED_REQUEST = 421;
+
+  private static final int RETRY_AFTER_S = 1;
+
+  /**
+   * The leader of this process, if any. There is one call for each heartbeat, so that a missing
+   * response is null and not an Optional.
+   */
+  @FunctionalInterface
+  public interface HeartbeatHandler {
+    /** The body of the response, or null when this process may not respond as the leader. */
+    byte @Nullable [] handle(Heartbeat heartbeat);
+  }
+
+  /** Where the leader is. */
+  @FunctionalInterface
+  public interface LeaderLocator {
+    /** The name of the controller that leads, or null while none is known. */
+    @Nullable String leaderNode();
+  }
+
+  private final EventLoop loop;
+  private final String node;
+  private final Metrics metrics;
+  private final HeartbeatHandler leader;
+  private final LeaderLocator leaderLocator;
+  private final RedirectTracker redirects;
+  private final HeartbeatRelay relay;
+
+  /**
+   * @param node the name of this controller
+   */
+  public WorkerApi(
+      EventLoop loop,
+      String node,
+      Metrics metrics,
+      HeartbeatHandler leader,
+      LeaderLocator leaderLocator,
+      RedirectTracker redirects,
+      HeartbeatRelay relay) {
+    this.loop = loop;
+    this.node = node;
+    this.metrics = metrics;
+    this.leader = leader;
+    this.leaderLocator = leaderLocator;
+    this.redirects = redirects;
+    this.relay = relay;
+  }
+
+  /** Handles a heartbeat that a worker sent to this controller. */
+  void handleHeartbeat(Request request, Responder responder) {
+    metrics.increment(Metrics.Counter.REPORTS, 1);
+    double receivedAt = loop.now();
+    Heartbeat heartbeat = parse(request, responder);
+    if (heartbeat == null) {
+      return;
+    }
+    byte[] response = leader.handle(heartbeat);
+    if (response != null) {
+      metrics.recordLatency(Metrics.Latency.REPORT, loop.now() - receivedAt);
+      responder.send(OK, Responder.CONTENT_TYPE_JSON, response, 0);
+      return;
+    }
+    String leaderNode = leaderLocator.leaderNode();
+    if (leaderNode != null && redirects.shouldRelay(heartbeat.machine(), leaderNode)) {
+      relay.relay(
+          leaderNode,
+          request.body(),
+          relayed -> respondRelayed(heartbeat.machine(), leaderNode, relayed, responder));
+    } else {
+      redirect(leaderNode, responder);
+    }
+  }
+
+  private void respondRelayed(
+      String machine, String leaderNode, Optional<byte[]> response, Responder responder) {
+    if (response.isEmpty()) {
+      redirect(null, responder);
+      return;
+    }
+    metrics.increment(Metrics.Counter.RELAYED, 1);
+    redirects.recordRelayed(machine, leaderNode);
+    responder.send(OK, Responder.CONTENT_TYPE_JSON, response.get(), 0);
+  }
+
+  /** Handles a heartbeat that a peer relays because it takes this controller for the leader. */
+  public void handleRelayedHeartbeat(Request request, Responder responder) {
+    Heartbeat heartbeat = parse(request, responder);
+    if (heartbeat == null) {
+      return;
+    }
+    byte[] response = leader.handle(heartbeat);
+    if (response == null) {
+      responder.retryLater(503, "not the leader", RETRY_AFTER_S);
+    } else {
+      responder.send(OK, Responder.CONTENT_TYPE_JSON, response, 0);
+    }
+  }
+
+  private void redirect(@Nullable String leaderNode, Responder responder) {
+    metrics.increment(Metrics.Counter.REDIRECTED, 1);
+    // This controller does not respond as the leader: to name it would bring the worker back here.
+    String target = node.equals(leaderNode) ? null : leaderNode;
+    responder.json(MISDIRECTED_REQUEST, new RedirectResponse(target).toJson());
+  }
+
+  /** The heartbeat in the body; null when it is malformed, which the sender has been told then. */
+  private static @Nullable Heartbeat parse(Request request, Responder responder) {
+    try {
+      return Heartbeat.parse(request.body());
+    } catch (InvalidFieldException e) {
+      LOG.warn("Malformed heartbeat: reason={}", e.getMessage());
+      responder.error(400, e.getMessage());
+      return null;
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/control/EventLoopDelayProbe.java
@@ -0,0 +1,28 @@
+package org.saffronshore.control;
+
+import org.saffronshore.admin.Metrics;
+import org.saffronshore.http.EventLoop;
+
+/** Measures how late the event loop runs what is scheduled, which shows that it is overloaded. */
+final class EventLoopDelayProbe {
+  private final EventLoop loop;
+  private final Metrics metrics;
+  private final double intervalS;
+
+  EventLoopDelayProbe(EventLoop loop, Metrics metrics, double intervalS) {
+    this.loop = loop;
+    this.metrics = metrics;
+    this.intervalS = intervalS;
+  }
+
+  /** Measures once in each interval, from now on. */
+  void start() {
+    double dueAt = loop.now() + intervalS;
+    loop.schedule(
+        intervalS,
+        () -> {
+          metrics.recordLatency(Metrics.Latency.LOOP, loop.now() - dueAt);
+          start();
+        });
+  }
+}
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -16,6 +16,7 @@
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.leadership.Leadership;
 import org.saffronshore.peer.JobProgress;
+import org.saffronshore.peer.PeerReachability;
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
@@ -40,7 +41,7 @@
   private final Client client;
   private final Leadership leadership;
   private final QuotaMetrics teamMetrics;
-  private final PeerLink peers;
+  private final PeerReachability peers;
   private final Autoscaler autoscaler;
   private final SchedulingLoop scheduling;
   private final Cluster cluster;
--- /dev/null
+++ b/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
@@ -0,0 +1,41 @@
+package org.saffronshore.peer;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.saffronshore.config.Settings;
+import org.saffronshore.config.Settings.Peer;
+
+/** Relays heartbeats of workers that cannot reach the leader. */
+public final class HeartbeatRelay {
+  private final PeerClient peers;
+  private final double timeoutS;
+
+  /** Gives the leader less time than a worker waits. */
+  public HeartbeatRelay(PeerClient peers, Settings settings) {
+    this.peers = peers;
+    this.timeoutS = settings.heartbeatIntervalS() * 2 / 3;
+  }
+
+  /**
+   * Sends a heartbeat to the leader.
+   *
+   * @param heartbeat the body as the worker sent it
+   * @param receiver gets the body of the leader's response; empty when there is none in time, or
+   *     when the leader is not among the peers
+   */
+  public void relay(String leaderNode, byte[] heartbeat, Consumer<Optional<byte[]>> receiver) {
+    for (Peer peer : peers.peers()) {
+      if (peer.node().equals(leaderNode)) {
+        peers.post(
+            peer,
+            PeerProtocol.RELAY_PATH,
+            heartbeat,
+            timeoutS,
+            response ->
+                receiver.accept(response.ok() ? Optional.of(response.body()) : Optional.empty()));
+        return;
+      }
+    }
+    receiver.accept(Optional.empty());
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
@@ -0,0 +1,99 @@
+package org.saffronshore.peer;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Supplier;
+import org.saffronshore.config.Settings;
+import org.saffronshore.config.Settings.Peer;
+import org.saffronshore.http.EventLoop;
+
+/**
+ * Sends heartbeats to the peers. Those of a leader hold the progress of its jobs, and ask for the
+ * peers' leases and for what they know of cancellations.
+ */
+public final class PeerHeartbeats {
+
+  /** Receives what peers know of cancellations. */
+  @FunctionalInterface
+  public interface CancellationListener {
+    /**
+     * A peer has responded to a heartbeat.
+     *
+     * @param term the term that this controller led when it sent the heartbeat
+     * @param requestedAt when it sent the heartbeat
+     * @param coveredSince since when no cancellation that the peer learned of is missing
+     */
+    void onCancellations(
+        long term, String peer, double requestedAt, double coveredSince, List<String> jobs);
+  }
+
+  private final EventLoop loop;
+  private final PeerClient peers;
+  private final PeerMessageFactory messages;
+  private final PeerReachability reachability;
+  private final JobProgressCache jobProgress;
+  private final PeerLeadership leadership;
+  private final Supplier<Optional<TermProgress>> leaderProgress;
+  private final CancellationListener cancellations;
+  private final double intervalS;
+
+  /**
+   * @param leaderProgress the term and progress of this leader; empty while this controller may not
+   *     act as one
+   */
+  public PeerHeartbeats(
+      EventLoop loop,
+      Settings settings,
+      PeerClient peers,
+      PeerMessageFactory messages,
+      PeerReachability reachability,
+      JobProgressCache jobProgress,
+      PeerLeadership leadership,
+      Supplier<Optional<TermProgress>> leaderProgress,
+      CancellationListener cancellations) {
+    this.loop = loop;
+    this.peers = peers;
+    this.messages = messages;
+    this.reachability = reachability;
+    this.jobProgress = jobProgress;
+    this.leadership = leadership;
+    this.leaderProgress = leaderProgress;
+    this.cancellations = cancellations;
+    this.intervalS = PeerProtocol.heartbeatIntervalS(settings);
+  }
+
+  /** Begins to send. */
+  public void start() {
+    loop.scheduleWithFixedDelay(intervalS, this::sendToAll);
+  }
+
+  private void sendToAll() {
+    PeerMessage heartbeat =
+        leaderProgress.get().map(messages::forLeader).orElseGet(messages::create);
+    byte[] body = heartbeat.toCbor();
+    double sentAt = loop.now();
+    long term = leadership.term();
+    for (Peer peer : peers.peers()) {
+      peers.send(
+          peer,
+          PeerProtocol.HEARTBEAT_PATH,
+          body,
+          intervalS * 2,
+          response -> response.ifPresent(present -> receive(peer, present, sentAt, term)));
+    }
+  }
+
+  private void receive(Peer peer, PeerResponse response, double sentAt, long term) {
+    reachability.recordResponse(peer);
+    reachability.recordStateServiceAvailability(response.sender());
+    jobProgress.record(response.sender());
+    if (response.leaseGranted() && term == leadership.term()) {
+      leadership.recordGrant(peer.node(), sentAt);
+    }
+    PeerResponse.Cancellations known = response.cancellations();
+    if (known != null) {
+      double coveredSince = loop.now() - Settings.minLocalDuration(known.completeForS());
+      cancellations.onCancellations(term, peer.node(), sentAt, coveredSince, known.jobs());
+    }
+  }
+}
--- a/src/main/java/org/saffronshore/peer/PeerMessage.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessage.java
@@ -4,37 +4,42 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
- * What one controller sends to another: heartbeats, requests for a vote, withdrawals.
+ * What one controller sends to another: heartbeats, requests for a vote, withdrawals. Responses
+ * begin with the same fields.
  *
- * @param node the sender
- * @param incarnation distinguishes the sending process from earlier ones of the same node
- * @param sequence rises with every message of a process, so that copies and late messages are known
- * @param stateServiceAvailable whether the state service answers the sender
+ * @param node the sender's name; null only in a response that lacks it
+ * @param incarnation distinguishes the sending process from earlier ones of the same controller;
+ *     null only in a response that lacks it
+ * @param sequence rises with every message of a process, so that copies and late messages are
+ *     recognized
+ * @param stateServiceAvailable whether the state service responds to the sender
  * @param stateServiceAvailableAgoS how long ago it last did
  * @param term the term that the sender leads or wants to lead, or {@link #NO_TERM}
- * @param jobProgress how far jobs are, from a leader only; null otherwise
+ * @param jobProgress the progress of jobs by their ids, from a leader only; null otherwise
  */
 public record PeerMessage(
-    String node,
-    String incarnation,
+    @Nullable String node,
+    @Nullable String incarnation,
     long sequence,
     boolean stateServiceAvailable,
     double stateServiceAvailableAgoS,
     long term,
-    Map<String, JobProgress> jobProgress) {
+    @Nullable Map<String, JobProgress> jobProgress) {
 
   /** The term of a sender that neither leads nor wants to. */
   public static final long NO_TERM = -1;
 
-  /** Longer than this ago counts as never; infinity cannot be told. */
-  private static final double LONGEST_AGO_S = 1e9;
+  /** Longer ago than this counts as never; infinity cannot be sent. */
+  private static final double MAX_AGO_S = 1e9;
 
   /** Reads a message; one without a sender is refused. */
-  public static PeerMessage parse(byte[] body) throws InvalidFieldException {
+  public static PeerMessage parse(byte @Nullable [] body) throws InvalidFieldException {
     JsonNode message = body == null ? null : Json.parseCbor(body);
     if (message == null || !message.isObject()) {
       throw new InvalidFieldException("body", "must be an object in CBOR");
@@ -49,7 +54,7 @@
     return parsed;
   }
 
-  /** Reads the fields that messages and answers have in common; those that are missing are null. */
+  /** Reads the fields that messages and responses have in common. */
   static PeerMessage parse(JsonNode message) {
     return new PeerMessage(
         Json.text(message, "node"),
@@ -61,16 +66,26 @@
         jobProgress(message.path("jobs")));
   }
 
-  private static Map<String, JobProgress> jobProgress(JsonNode jobs) {
+  private static @Nullable Map<String, JobProgress> jobProgress(JsonNode jobs) {
     if (!jobs.isObject()) {
       return null;
     }
-    Map<String, JobProgress> all = new HashMap<>();
+    Map<String, JobProgress> progress = new HashMap<>();
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       JsonNode counts = job.getValue();
-      all.put(job.getKey(), new JobProgress(counts.path(0).asInt(), counts.path(1).asInt()));
+      progress.put(job.getKey(), new JobProgress(counts.path(0).asInt(), counts.path(1).asInt()));
     }
-    return all;
+    return progress;
+  }
+
+  /** The sender's name, of a message that was read by {@link #parse(byte[])}. */
+  String senderNode() {
+    return Objects.requireNonNull(node);
+  }
+
+  /** The sender's incarnation, of a message that was read by {@link #parse(byte[])}. */
+  String senderIncarnation() {
+    return Objects.requireNonNull(incarnation);
   }
 
   /** The form in which it is sent. */
@@ -85,13 +100,14 @@
             .put("life", incarnation)
             .put("n", sequence)
             .put("served", stateServiceAvailable)
-            .put("served_s", Math.min(LONGEST_AGO_S, stateServiceAvailableAgoS));
+            .put("served_s", Math.min(MAX_AGO_S, stateServiceAvailableAgoS));
     if (term != NO_TERM) {
       tree.put("term", term);
     }
     if (jobProgress != null) {
       ObjectNode jobs = tree.putObject("jobs");
-      jobProgress.forEach((job, p) -> jobs.putArray(job).add(p.done()).add(p.running()));
+      jobProgress.forEach(
+          (job, progress) -> jobs.putArray(job).add(progress.done()).add(progress.running()));
     }
     return tree;
   }
--- /dev/null
+++ b/src/main/java/org/saffronshore/peer/PeerProtocol.java
@@ -0,0 +1,21 @@
+package org.saffronshore.peer;
+
+import org.saffronshore.config.Settings;
+
+/** Paths, content type and timing of the messages between controllers. */
+final class PeerProtocol {
+  static final String CONTENT_TYPE = "application/cbor";
+  static final String HEARTBEAT_PATH = "/peer/hello";
+  static final String VOTE_PATH = "/peer/vote";
+  static final String WITHDRAWAL_PATH = "/peer/giveup";
+
+  /** Takes the JSON of the workers' protocol; all other paths take {@link PeerMessage}s. */
+  static final String RELAY_PATH = "/peer/report";
+
+  private PeerProtocol() {}
+
+  /** The time between two heartbeats of a controller. */
+  static double heartbeatIntervalS(Settings settings) {
+    return settings.heartbeatIntervalS() / 3;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
@@ -0,0 +1,113 @@
+package org.saffronshore.peer;
+
+import java.util.function.BiConsumer;
+import java.util.function.Supplier;
+import org.saffronshore.config.Settings;
+import org.saffronshore.http.Request;
+import org.saffronshore.http.Responder;
+import org.saffronshore.state.StateServiceMonitor;
+import org.saffronshore.wire.InvalidFieldException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Handles what other controllers send. */
+public final class PeerRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerRequestHandler.class);
+
+  private final PeerMessageFactory messages;
+  private final PeerReachability reachability;
+  private final JobProgressCache jobProgress;
+  private final PeerLeadership leadership;
+  private final StateServiceMonitor stateService;
+  private final Supplier<PeerResponse.Cancellations> cancellations;
+  private final BiConsumer<Request, Responder> relayedHeartbeats;
+  private final OutdatedMessageDetector outdated;
+
+  /**
+   * @param cancellations what this process knows of cancellations. A leader may be refused by the
+   *     state service while this controller is not: so it stops the tasks at once, and, as far back
+   *     as nothing is missing, may renew the leases of others in an outage
+   * @param relayedHeartbeats handles heartbeats of workers that a peer relays
+   */
+  public PeerRequestHandler(
+      Settings settings,
+      PeerMessageFactory messages,
+      PeerReachability reachability,
+      JobProgressCache jobProgress,
+      PeerLeadership leadership,
+      StateServiceMonitor stateService,
+      Supplier<PeerResponse.Cancellations> cancellations,
+      BiConsumer<Request, Responder> relayedHeartbeats) {
+    this.messages = messages;
+    this.reachability = reachability;
+    this.jobProgress = jobProgress;
+    this.leadership = leadership;
+    this.stateService = stateService;
+    this.cancellations = cancellations;
+    this.relayedHeartbeats = relayedHeartbeats;
+    this.outdated = new OutdatedMessageDetector(settings.controllerCount());
+  }
+
+  /** Handles a request of a peer; false when the path is none of the protocol's. */
+  public boolean handle(Request request, Responder responder) {
+    switch (request.path()) {
+      case PeerProtocol.RELAY_PATH -> relayedHeartbeats.accept(request, responder);
+      case PeerProtocol.HEARTBEAT_PATH, PeerProtocol.VOTE_PATH, PeerProtocol.WITHDRAWAL_PATH ->
+          handleMessage(request, responder);
+      default -> {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private void handleMessage(Request request, Responder responder) {
+    PeerMessage message;
+    try {
+      message = PeerMessage.parse(request.hasMethod("POST") ? request.body() : null);
+    } catch (InvalidFieldException e) {
+      LOG.warn("Malformed peer message: path={} reason={}", request.path(), e.getMessage());
+      responder.error(400, e.getMessage());
+      return;
+    }
+    reachability.recordMessage();
+    byte[] response = respond(request.path(), message).toCbor();
+    responder.send(200, PeerProtocol.CONTENT_TYPE, response, 0);
+  }
+
+  private PeerResponse respond(String path, PeerMessage message) {
+    PeerMessage self = messages.create();
+    if (outdated.isOutdated(message)) {
+      return new PeerResponse(self, false, null);
+    }
+    return switch (path) {
+      case PeerProtocol.WITHDRAWAL_PATH -> respondToWithdrawal(message, self);
+      case PeerProtocol.VOTE_PATH -> new PeerResponse(self, grantsLease(message, true), null);
+      default -> respondToHeartbeat(message, self);
+    };
+  }
+
+  private PeerResponse respondToWithdrawal(PeerMessage message, PeerMessage self) {
+    leadership.recordWithdrawal(message.senderNode(), message.senderIncarnation(), message.term());
+    return new PeerResponse(self, false, null);
+  }
+
+  private PeerResponse respondToHeartbeat(PeerMessage message, PeerMessage self) {
+    reachability.recordStateServiceAvailability(message);
+    jobProgress.record(message);
+    boolean granted = grantsLease(message, false);
+    boolean fromLeader = message.term() != PeerMessage.NO_TERM;
+    return new PeerResponse(self, granted, fromLeader ? cancellations.get() : null);
+  }
+
+  private boolean grantsLease(PeerMessage message, boolean candidate) {
+    return message.term() != PeerMessage.NO_TERM
+        && leadership.grantLease(
+            message.senderNode(),
+            message.senderIncarnation(),
+            message.term(),
+            candidate,
+            message.stateServiceAvailable(),
+            stateService.isAvailable());
+  }
+}
--- a/src/main/java/org/saffronshore/peer/PeerResponse.java
+++ b/src/main/java/org/saffronshore/peer/PeerResponse.java
@@ -5,17 +5,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
- * What a controller answers to a {@link PeerMessage}.
+ * The response of a controller to a {@link PeerMessage}.
  *
- * @param sender who answers; of it the node may be null
- * @param leaseGranted whether it grants its leader lease
+ * @param sender the responding controller; its node and incarnation may be null
+ * @param leaseGranted whether it grants its lease to the sender of the message
  * @param cancellations what it knows of cancellations, for a leader only; null otherwise
  */
-public record PeerResponse(PeerMessage sender, boolean leaseGranted, Cancellations cancellations) {
+public record PeerResponse(
+    PeerMessage sender, boolean leaseGranted, @Nullable Cancellations cancellations) {
 
   /**
    * The cancellations that a controller learned of lately.
@@ -25,23 +27,23 @@
    */
   public record Cancellations(List<String> jobs, double completeForS) {}
 
-  /** Reads an answer; fields that an earlier version does not send are taken as not known. */
-  public static PeerResponse parse(byte[] body) throws InvalidFieldException {
-    JsonNode answer = body == null ? null : Json.parseCbor(body);
-    if (answer == null || !answer.isObject()) {
+  /** Reads a response; fields that an earlier version does not send are taken as not known. */
+  public static PeerResponse parse(byte @Nullable [] body) throws InvalidFieldException {
+    JsonNode response = body == null ? null : Json.parseCbor(body);
+    if (response == null || !response.isObject()) {
       throw new InvalidFieldException("body", "must be an object in CBOR");
     }
     return new PeerResponse(
-        PeerMessage.parse(answer), Json.bool(answer, "granted"), cancellations(answer));
+        PeerMessage.parse(response), Json.bool(response, "granted"), cancellations(response));
   }
 
-  private static Cancellations cancellations(JsonNode answer) {
-    if (!answer.path("cancelled").isArray()) {
+  private static @Nullable Cancellations cancellations(JsonNode response) {
+    if (!response.path("cancelled").isArray()) {
       return null;
     }
     List<String> jobs = new ArrayList<>();
-    answer.get("cancelled").forEach(id -> jobs.add(id.asText()));
-    return new Cancellations(jobs, Json.number(answer, "cancelled_s", 0));
+    response.get("cancelled").forEach(id -> jobs.add(id.asText()));
+    return new Cancellations(jobs, Json.number(response, "cancelled_s", 0));
   }
 
   /** The form in which it is sent. */
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.regex.Pattern;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What a user asked for: an array of independent tasks and what each may run on.
@@ -38,6 +39,9 @@
   /** The field that names the jobs that one needs. */
   public static final String DEPENDENCIES_FIELD = "Awaits";
 
+  /** The field that names the job's team. */
+  public static final String TEAM_FIELD = "Crew";
+
   private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
   private static final double MAX = 1e9;
 
@@ -48,6 +52,11 @@
     return text != null && ID.matcher(text).matches();
   }
 
+  /** The id in a submission that may be malformed otherwise; null when there is none. */
+  public static @Nullable String idOf(JsonNode body) {
+    return Json.text(body, "Uid");
+  }
+
   /** Reads a submission or a stored job; a failure names the field. */
   public static JobSpec parse(JsonNode body) throws InvalidFieldException {
     FieldReader f = FieldReader.of(body, "");
@@ -62,7 +71,7 @@
     return new JobSpec(
         id,
         f.text("RouteKind"),
-        f.text("Crew"),
+        f.text(TEAM_FIELD),
         Priority.fromWireName(f.text("Urgency")),
         (int) f.count("Legs", 1, MAX_TASKS),
         f.number("Cores", 0, MAX),
@@ -198,7 +207,7 @@
     ObjectNode o = Json.object();
     o.put("Uid", id)
         .put("RouteKind", jobClass)
-        .put("Crew", team)
+        .put(TEAM_FIELD, team)
         .put("Shape", "array")
         .put("Urgency", priority.wireName())
         .put("Legs", tasks)
--- a/src/test/java/org/saffronshore/control/RedirectTrackerTest.java
+++ b/src/test/java/org/saffronshore/api/RedirectTrackerTest.java
@@ -1,4 +1,4 @@
-package org.saffronshore.control;
+package org.saffronshore.api;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
