--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -49,6 +49,8 @@
           "peer.PeerResponse",
           "peer.JobProgress",
           "peer.TermProgress",
+          "peer.PeerResponse$Cancellations",
+          "peer.PeerVotingClient$VoteCount",
           "peer.OutdatedMessageDetector",
           "peer.OutdatedMessageDetector$Sender",
           "wire.JobStatusResponse",
