--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -253,7 +253,7 @@
 
   /** How many machines may hold tasks of earlier terms. */
   public int unreconciledCount() {
-    return reconciliation.machines().size();
+    return reconciliation.unreconciledMachines().size();
   }
 
   /** Which machines the next leader must know of. */
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -91,7 +91,7 @@
         machines.all().size(),
         up,
         notUp,
-        reconciliation.machines().size(),
+        reconciliation.unreconciledMachines().size(),
         Math.round(upCpus),
         Math.round(usedCpus),
         Math.round(runningCpus),
@@ -136,13 +136,13 @@
   public List<PendingJob> pendingJobs(boolean canRaiseWatermarks) {
     double now = loop.now();
     List<PendingJob> pendingJobs = new ArrayList<>();
-    boolean anyMayHoldAnything = reconciliation.anyMayHoldAnything();
+    boolean anyMayHoldAnything = reconciliation.anyMayHoldAnyTask();
     for (Job job : jobs.all()) {
       if (!job.isReady() || job.waitingTasks().isEmpty() || job.isInBackoff(now)) {
         continue;
       }
       BitSet tasks =
-          reconciliation.mayRunOnUnreconciled(job)
+          reconciliation.mayRunOnUnreconciledMachine(job)
               ? tasksCertainlyNowhere(job, anyMayHoldAnything)
               : job.waitingTasks();
       if (!canRaiseWatermarks) {
@@ -166,8 +166,8 @@
       tasks.andNot(job.waitingTasksLaunchedBefore());
       return tasks;
     }
-    for (Machine machine : reconciliation.machines()) {
-      for (TaskId task : machine.possibleTasks().named()) {
+    for (Machine machine : reconciliation.unreconciledMachines()) {
+      for (TaskId task : machine.possibleTasks().namedTasks()) {
         if (task.job().equals(job.id())) {
           tasks.clear(task.index());
         }
--- a/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
@@ -65,10 +65,10 @@
     Machine machine = machines.getOrCreate(heartbeat.machine());
     double now = loop.now();
     machine.lease().heartbeatReceived(machine.epochs().isNewest(heartbeat), now);
-    machine.describe(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+    machine.updateDescription(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
     MachineLifecycle.setAddress(machine, heartbeat.address());
     if (machine.epochs().recordHeartbeat(heartbeat)) {
-      machine.health().countSilenceFrom(now);
+      machine.health().restartSilenceTimer(now);
     }
     apply(machine, heartbeat);
     return machine;
@@ -82,8 +82,8 @@
     // A worker that reaches no controller still responds to commands. That does not make it one to
     // rely on: its lease runs out. So only the first status counts, of a machine that is about to
     // find this leader.
-    if (!machine.health().wasEverHeard()) {
-      machine.health().countSilenceFrom(loop.now());
+    if (!machine.health().wasEverHeardFrom()) {
+      machine.health().restartSilenceTimer(loop.now());
     }
     apply(machine, status);
   }
@@ -106,7 +106,7 @@
       unresponsiveMachines.markResponsive(machine);
     }
     if ((machine.isReconciled() || reconciledNow) && !machine.registryEntry().isRegistered()) {
-      registry.register(machine);
+      registry.requestRegistration(machine);
     }
     // Most heartbeats say nothing new, and there are hundreds in a second.
     if (reconciledNow || noticedNow || !machine.tasks().isUpToDateWith(heartbeat.tasks())) {
@@ -140,7 +140,7 @@
         heartbeat.epoch(),
         heartbeat.sequence(),
         heartbeat.tasks());
-    machine.reconcile();
+    machine.markReconciled();
     reconciliation.remove(machine);
     onChange.run();
   }
@@ -154,7 +154,7 @@
           "New worker epoch ends attempts: machine={} epoch={} tasks={}",
           machine.id(),
           epoch,
-          machine.tasks().ids());
+          machine.tasks().taskIds());
     }
     machine.tasks().attemptsCopy().forEach(attempts::end);
     machine.clearExited();
@@ -167,7 +167,7 @@
     machine.epochs().begin(epoch);
     // Whatever renewed its lease last, an epoch that is new here may have begun a moment ago, with
     // a lease of its own from then on.
-    machine.lease().mayBeRenewedAt(now);
+    machine.lease().recordPossibleRenewal(now);
   }
 
   private void markUp(Machine machine) {
@@ -193,7 +193,7 @@
       LOG.debug("Preemption notice: machine={} notice_s={}", machine.id(), noticeS);
       onChange.run();
     }
-    machine.preemptionNoticed(loop.now() + noticeS);
+    machine.preemptionNoticeReceived(loop.now() + noticeS);
     return first;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -58,7 +58,7 @@
   private double preemptedAt = Double.NaN;
 
   /** When the machine was first known to exist. */
-  private double existsSince;
+  private double knownToExistSince;
 
   private double rentedAt;
   private double firstUpAt = Double.NaN;
@@ -83,7 +83,7 @@
     this.id = id;
     this.health = new MachineHealth(silentAfterS);
     this.tasks = new MachineTasks(now);
-    this.existsSince = now;
+    this.knownToExistSince = now;
     this.rentedAt = now;
   }
 
@@ -115,7 +115,7 @@
     return address;
   }
 
-  void describe(@Nullable String newType, @Nullable String newZone, boolean newSpot) {
+  void updateDescription(@Nullable String newType, @Nullable String newZone, boolean newSpot) {
     type = newType;
     zone = newZone;
     spot = newSpot;
@@ -140,7 +140,7 @@
         && !health.isInBackoff(now)
         && !health.isSilent(now)
         && !health.isUnresponsive()
-        && !tasks.hasUnknown();
+        && !tasks.hasTaskOfUnknownSize();
   }
 
   /** Whether the machine can be counted on for later: it works, stays, and is heard. */
@@ -163,7 +163,7 @@
   void markUp(double now) {
     up = true;
     firstUpAt = Double.isNaN(firstUpAt) ? now : firstUpAt;
-    tasks.countIdleFrom(now);
+    tasks.setIdleSince(now);
   }
 
   /** Its worker's lease must have run out: messages of its epoch are ignored from now on. */
@@ -177,7 +177,7 @@
   }
 
   /** Its worker has shown this term's fencing token, and so rejects earlier leaders. */
-  void reconcile() {
+  void markReconciled() {
     reconciled = true;
   }
 
@@ -211,7 +211,7 @@
     return !Double.isNaN(preemptedAt);
   }
 
-  void preemptionNoticed(double moment) {
+  void preemptionNoticeReceived(double moment) {
     preemptedAt = moment;
   }
 
@@ -230,13 +230,13 @@
     return health.isQuarantined();
   }
 
-  double existsSince() {
-    return existsSince;
+  double knownToExistSince() {
+    return knownToExistSince;
   }
 
   /** It is known to have existed at this moment. */
-  void existedAt(double moment) {
-    existsSince = Math.min(existsSince, moment);
+  void recordExistence(double moment) {
+    knownToExistSince = Math.min(knownToExistSince, moment);
   }
 
   public double rentedAt() {
@@ -324,9 +324,9 @@
   }
 
   /** Nothing runs on it any more, and its worker keeps no exited attempts. */
-  void release(double now) {
+  void allTasksEnded(double now) {
     tasks.clearExited();
-    tasks.countIdleFrom(now);
+    tasks.setIdleSince(now);
   }
 
   /** The worker has begun another epoch, and kept nothing from the one before. */
@@ -361,11 +361,11 @@
   /** What is known of its tasks has changed other than by a heartbeat. */
   void invalidateView() {
     cachedView = null;
-    tasks.forgetApplied();
+    tasks.clearLastApplied();
   }
 
   /** The tasks of a heartbeat are about to be applied. */
-  void applyingTasks() {
+  void beforeTasksApplied() {
     cachedView = null;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/MachineHealth.java
+++ b/src/main/java/org/saffronshore/cluster/MachineHealth.java
@@ -14,7 +14,7 @@
    * From when its silence counts: its last heartbeat, its first status, or when this controller
    * resumed after a pause.
    */
-  private double silenceCountsFrom = Double.NEGATIVE_INFINITY;
+  private double silenceTimerStartedAt = Double.NEGATIVE_INFINITY;
 
   private boolean unresponsive;
   private double unresponsiveSince;
@@ -34,15 +34,15 @@
   }
 
   boolean isSilentFor(double durationS, double now) {
-    return now > silenceCountsFrom + durationS;
+    return now > silenceTimerStartedAt + durationS;
   }
 
-  boolean wasEverHeard() {
-    return silenceCountsFrom != Double.NEGATIVE_INFINITY;
+  boolean wasEverHeardFrom() {
+    return silenceTimerStartedAt != Double.NEGATIVE_INFINITY;
   }
 
-  void countSilenceFrom(double moment) {
-    silenceCountsFrom = moment;
+  void restartSilenceTimer(double moment) {
+    silenceTimerStartedAt = moment;
   }
 
   /** Whether its heartbeats arrive, and it seems to receive no commands. */
--- a/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
@@ -20,7 +20,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
   /** A list of the cloud may be older than the usual lag, and older than the one before it. */
-  private static final double MAX_LIST_LAGS = 2.25;
+  private static final double MAX_LIST_AGE_LAGS = 2.25;
 
   /** A lease counts as expired this part of a heartbeat interval after it must have run out. */
   private static final double EXPIRY_SLACK_DIVISOR = 30;
@@ -68,14 +68,14 @@
     Machine machine = machines.getOrCreate(id);
     machine.registryEntry().loaded(possibleTasks != null);
     machine.possibleTasks().loaded(possibleTasks);
-    machine.existedAt(loop.now() - Math.max(0, ageS));
+    machine.recordExistence(loop.now() - Math.max(0, ageS));
     LOG.debug(
         "Machine registered by an earlier term: machine={} age_s={} possible_tasks={}",
         id,
         Math.round(ageS),
         possibleTasks == null ? "anything" : possibleTasks);
     if (!machine.isReconciled()) {
-      machine.lease().mayBeRenewedAt(termStartedAt);
+      machine.lease().recordPossibleRenewal(termStartedAt);
       reconciliation.add(machine);
       commandQueue.markDue(machine);
     }
@@ -87,7 +87,7 @@
       return;
     }
     Machine machine = machines.getOrCreate(id);
-    machine.describe(type, zone, spot);
+    machine.updateDescription(type, zone, spot);
     machine.rentedAt(requestedAt);
   }
 
@@ -108,7 +108,7 @@
           listed.zone(),
           listed.spot());
     }
-    machine.describe(listed.type(), listed.zone(), listed.spot());
+    machine.updateDescription(listed.type(), listed.zone(), listed.spot());
     setAddress(machine, listed.address());
     if (reconciliation.isUnreconciled(machine) && !machine.isUp()) {
       commandQueue.markDue(machine);
@@ -117,7 +117,7 @@
       // A failed machine has stopped of its own accord: nothing on it runs, now or later.
       LOG.debug("Machine failed: machine={}", id);
       machine.markFailed();
-      release(machine);
+      endAllAttempts(machine);
     }
   }
 
@@ -141,9 +141,9 @@
     double knownBefore =
         requestedAt
             - Settings.maxLocalDuration(
-                MAX_LIST_LAGS * settings.cloudListLagS() + settings.heartbeatIntervalS());
+                MAX_LIST_AGE_LAGS * settings.cloudListLagS() + settings.heartbeatIntervalS());
     for (Machine machine : new ArrayList<>(machines.all())) {
-      if (!ids.contains(machine.id()) && machine.existsSince() < knownBefore) {
+      if (!ids.contains(machine.id()) && machine.knownToExistSince() < knownBefore) {
         machineRemoved(machine, "not listed by the cloud");
       }
     }
@@ -155,18 +155,18 @@
         "Machine removed: machine={} reason={} tasks={}",
         machine.id(),
         reason,
-        machine.tasks().ids());
-    release(machine);
+        machine.tasks().taskIds());
+    endAllAttempts(machine);
     machines.remove(machine);
     registry.machineRemoved(machine);
   }
 
   /** Nothing runs on the machine any more. */
-  private void release(Machine machine) {
+  private void endAllAttempts(Machine machine) {
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
       attempts.end(attempt);
     }
-    machine.release(loop.now());
+    machine.allTasksEnded(loop.now());
     reconciliation.remove(machine);
     onChange.run();
   }
@@ -190,9 +190,9 @@
             "Worker lease expired: machine={} epoch={} tasks={}",
             machine.id(),
             machine.epochs().epoch(),
-            machine.tasks().ids());
+            machine.tasks().taskIds());
         machine.leaseExpired();
-        release(machine);
+        endAllAttempts(machine);
       }
     }
   }
--- a/src/main/java/org/saffronshore/cluster/MachineRegistry.java
+++ b/src/main/java/org/saffronshore/cluster/MachineRegistry.java
@@ -19,7 +19,7 @@
 
   private final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
   private final Set<Machine> newlyCordonedMachines = new LinkedHashSet<>();
-  private final Set<String> removedMachines = new LinkedHashSet<>();
+  private final Set<String> removedMachineIds = new LinkedHashSet<>();
 
   MachineRegistry(EventLoop loop, MachineTable machines, Runnable onChange) {
     this.loop = loop;
@@ -28,31 +28,31 @@
   }
 
   /** The machine is ready for tasks except for its entry. */
-  void register(Machine machine) {
+  void requestRegistration(Machine machine) {
     machine.registryEntry().uncordon();
     unregisteredMachines.add(machine);
   }
 
   void machineRemoved(Machine machine) {
     if (machine.registryEntry().mayExist()) {
-      removedMachines.add(machine.id());
+      removedMachineIds.add(machine.id());
     }
   }
 
   /** Whether there is anything to be written. */
   public boolean hasPendingWrites() {
     return !unregisteredMachines.isEmpty()
-        || !removedMachines.isEmpty()
+        || !removedMachineIds.isEmpty()
         || !newlyCordonedMachines.isEmpty();
   }
 
   /** Machines that do not exist any more, whose entries are to be removed; a live view. */
-  public Set<String> removedMachines() {
-    return removedMachines;
+  public Set<String> removedMachineIds() {
+    return removedMachineIds;
   }
 
   /** Cordons silent machines, so that what they hold at most can be written. */
-  public void cordonSilent() {
+  public void cordonSilentMachines() {
     double now = loop.now();
     for (Machine machine : machines.all()) {
       if (machine.isUp()
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -17,7 +17,7 @@
   private static final double SILENT_AFTER_INTERVALS = 1.4;
 
   /** Heartbeats of removed machines may come late, but not by so many leases. */
-  private static final double REMOVED_LEASES = 20;
+  private static final double REMOVED_RETENTION_LEASES = 20;
 
   private final EventLoop loop;
   private final Settings settings;
@@ -70,7 +70,9 @@
     double now = loop.now();
     machines.remove(machine.id());
     removedAt.put(machine.id(), now);
-    removedAt.values().removeIf(moment -> moment < now - REMOVED_LEASES * settings.workerLeaseS());
+    removedAt
+        .values()
+        .removeIf(moment -> moment < now - REMOVED_RETENTION_LEASES * settings.workerLeaseS());
   }
 
   // Machine types
@@ -104,11 +106,11 @@
    */
   void onProcessPause() {
     resumedAt = loop.now();
-    machines.values().forEach(machine -> machine.health().countSilenceFrom(resumedAt));
+    machines.values().forEach(machine -> machine.health().restartSilenceTimer(resumedAt));
   }
 
   /** For how long it could have received messages, since a moment: not while it paused. */
-  double listeningTimeSince(double moment) {
+  double listeningTimeS(double moment) {
     return loop.now() - Math.max(moment, resumedAt);
   }
 
--- a/src/main/java/org/saffronshore/cluster/MachineTasks.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTasks.java
@@ -39,7 +39,7 @@
   }
 
   /** The tasks of the attempts; a live view. */
-  Set<TaskId> ids() {
+  Set<TaskId> taskIds() {
     return attempts.keySet();
   }
 
@@ -48,7 +48,7 @@
   }
 
   /** Whether the size of one of the tasks is not known. */
-  boolean hasUnknown() {
+  boolean hasTaskOfUnknownSize() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.job() == null) {
         return true;
@@ -105,7 +105,7 @@
     return idleSince;
   }
 
-  void countIdleFrom(double moment) {
+  void setIdleSince(double moment) {
     idleSince = moment;
   }
 
@@ -122,12 +122,12 @@
     return statuses.equals(lastApplied);
   }
 
-  void applied(List<Heartbeat.TaskStatus> statuses) {
+  void recordApplied(List<Heartbeat.TaskStatus> statuses) {
     lastApplied = statuses;
   }
 
   /** Something else than a heartbeat has changed the tasks: the next one is applied anyway. */
-  void forgetApplied() {
+  void clearLastApplied() {
     lastApplied = null;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/PossibleTasks.java
+++ b/src/main/java/org/saffronshore/cluster/PossibleTasks.java
@@ -25,12 +25,12 @@
     tasks = named == null ? null : new HashSet<>(named);
   }
 
-  boolean isAnything() {
+  boolean mayBeAnyTask() {
     return tasks == null;
   }
 
   /** The tasks that the registry names; none when it may be anything. */
-  Set<TaskId> named() {
+  Set<TaskId> namedTasks() {
     return tasks == null ? Set.of() : tasks;
   }
 
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -72,7 +72,7 @@
       SchedulingSettings tuning) {
     QuotaAccounting usage = new QuotaAccounting(jobs, machines, reconciliation, teams, tuning);
     machines.all().forEach(usage::addAttempts);
-    reconciliation.machines().forEach(usage::addPossibleTasks);
+    reconciliation.unreconciledMachines().forEach(usage::addPossibleTasks);
     usage.addTotals();
   }
 
@@ -114,12 +114,12 @@
 
   private void addPossibleTasks(Machine machine) {
     Resources remaining = capacity(machine);
-    if (machine.possibleTasks().isAnything()) {
+    if (machine.possibleTasks().mayBeAnyTask()) {
       ofMachinesWithAnything.add(remaining);
       return;
     }
     boolean allKnown = true;
-    for (TaskId task : machine.possibleTasks().named()) {
+    for (TaskId task : machine.possibleTasks().namedTasks()) {
       Job job = jobs.get(task.job());
       JobSpec spec = job != null ? job.spec() : machine.possibleTasks().specOfEndedJob(task);
       if (spec == null) {
@@ -182,7 +182,7 @@
     countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
     for (Job job : jobs.all()) {
-      if (reconciliation.mayRunOnUnreconciled(job)) {
+      if (reconciliation.mayRunOnUnreconciledMachine(job)) {
         int unnamed =
             job.waitingTasksLaunchedBefore().cardinality() - namedByJob.getOrDefault(job.id(), 0);
         launched
--- a/src/main/java/org/saffronshore/cluster/Reconciliation.java
+++ b/src/main/java/org/saffronshore/cluster/Reconciliation.java
@@ -41,7 +41,7 @@
   }
 
   /** A live view. */
-  Set<Machine> machines() {
+  Set<Machine> unreconciledMachines() {
     return unreconciled;
   }
 
@@ -51,13 +51,13 @@
   }
 
   /** Whether tasks of the job may be on unreconciled machines: it is older than this term. */
-  boolean mayRunOnUnreconciled(Job job) {
+  boolean mayRunOnUnreconciledMachine(Job job) {
     return !unreconciled.isEmpty() && jobs.isOlderThanTerm(job);
   }
 
   /** Whether a task of the job may be on an unreconciled machine, in a zone that is not known. */
   boolean mayRunInUnknownZone(Job job) {
-    if (!mayRunOnUnreconciled(job)) {
+    if (!mayRunOnUnreconciledMachine(job)) {
       return false;
     }
     BitSet tasks = job.launchedOnUnreconciled();
@@ -67,7 +67,7 @@
   }
 
   /** Whether the registry does not name the tasks of one of the unreconciled machines. */
-  boolean anyMayHoldAnything() {
-    return unreconciled.stream().anyMatch(machine -> machine.possibleTasks().isAnything());
+  boolean anyMayHoldAnyTask() {
+    return unreconciled.stream().anyMatch(machine -> machine.possibleTasks().mayBeAnyTask());
   }
 }
--- a/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
@@ -58,7 +58,7 @@
 
   /** Takes all tasks of a message that is the newest of its machine. */
   void apply(Machine machine, List<Heartbeat.TaskStatus> statuses) {
-    machine.applyingTasks();
+    machine.beforeTasksApplied();
     Set<TaskId> shown = new HashSet<>();
     for (Heartbeat.TaskStatus status : statuses) {
       shown.add(status.task());
@@ -73,7 +73,7 @@
         .tasks()
         .exited()
         .removeIf(attempt -> !shown.contains(attempt.task()) && !attempt.launchMayArrive());
-    machine.tasks().applied(statuses);
+    machine.tasks().recordApplied(statuses);
   }
 
   private void apply(Machine machine, Heartbeat.TaskStatus status) {
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -13,10 +13,10 @@
    * A machine that shows no sign of having received anything for so many heartbeat intervals counts
    * as unresponsive.
    */
-  private static final double UNRESPONSIVE_INTERVALS = 3;
+  private static final double UNRESPONSIVE_AFTER_INTERVALS = 3;
 
   /** One that has been unresponsive for so many heartbeat intervals is of no use. */
-  private static final double UNUSABLE_INTERVALS = 2;
+  private static final double UNUSABLE_AFTER_INTERVALS = 2;
 
   /** When more machines than this seem unresponsive, it is this controller that is not heard. */
   private static final double MAX_UNRESPONSIVE_SHARE = 0.05;
@@ -56,14 +56,14 @@
    */
   public void detect() {
     double now = loop.now();
-    double toleratedS = UNRESPONSIVE_INTERVALS * settings.heartbeatIntervalS();
+    double toleratedS = UNRESPONSIVE_AFTER_INTERVALS * settings.heartbeatIntervalS();
     for (Machine machine : machines.all()) {
       if (!machine.isUp() || machine.health().isUnresponsive() || machine.health().isSilent(now)) {
         continue;
       }
       boolean reconciliationOverdue =
           !machine.isReconciled()
-              && machines.listeningTimeSince(machine.lease().firstRenewedAt()) > toleratedS;
+              && machines.listeningTimeS(machine.lease().firstRenewedAt()) > toleratedS;
       if (reconciliationOverdue || hasOverdueLaunch(machine, toleratedS)) {
         markUnresponsive(machine);
       }
@@ -74,7 +74,7 @@
     for (Attempt attempt : machine.attempts()) {
       if (attempt.isLaunching()
           && attempt.isDeliveryUnknown()
-          && machines.listeningTimeSince(attempt.createdAt()) > toleratedS) {
+          && machines.listeningTimeS(attempt.createdAt()) > toleratedS) {
         return true;
       }
     }
@@ -102,8 +102,8 @@
    */
   public boolean isUnusable(Machine machine) {
     if (!machine.health().isUnresponsive()
-        || machines.listeningTimeSince(machine.health().unresponsiveSince())
-            < UNUSABLE_INTERVALS * settings.heartbeatIntervalS()) {
+        || machines.listeningTimeS(machine.health().unresponsiveSince())
+            < UNUSABLE_AFTER_INTERVALS * settings.heartbeatIntervalS()) {
       return false;
     }
     long unresponsive =
--- a/src/main/java/org/saffronshore/cluster/WorkerLease.java
+++ b/src/main/java/org/saffronshore/cluster/WorkerLease.java
@@ -34,7 +34,7 @@
   }
 
   /** The worker may hold a lease that was renewed at this moment. */
-  void mayBeRenewedAt(double moment) {
+  void recordPossibleRenewal(double moment) {
     renewedAt = Math.max(renewedAt, moment);
   }
 
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -174,7 +174,7 @@
     cluster.expireLeases();
     cluster.unresponsiveMachines().detect();
     if (!cluster.isMostlySilent(settings.heartbeatIntervalS() * 4 / 3)) {
-      cluster.registry().cordonSilent();
+      cluster.registry().cordonSilentMachines();
     }
     cluster.retryCommands();
     failover.resolveDependencies();
--- a/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
+++ b/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
@@ -105,9 +105,9 @@
               records.put(
                   machine.id(), MachineRegistryEntry.mayHoldAnything(loop.wallClockMs()).toJson()));
     }
-    List<String> removed = new ArrayList<>(registry.removedMachines());
+    List<String> removed = new ArrayList<>(registry.removedMachineIds());
     removed.forEach(records::remove);
-    removed.forEach(registry.removedMachines()::remove);
+    removed.forEach(registry.removedMachineIds()::remove);
     return added;
   }
 
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -30,7 +30,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0.5, false", "1.1, true"})
-  void epochFoundByDirectCommandHasAWholeLease(double leasesLater, boolean placeable) {
+  void epochLearnedFromCommandResponseHasAFullLease(double leasesLater, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     cluster.machineListed(
         new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
@@ -79,7 +79,7 @@
       boolean oneZone, boolean spread, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     up("host-2");
-    boundToZones(oneZone, spread, 2);
+    addJobWithZoneConstraint(oneZone, spread, 2);
     assertEquals(placeable, placeable(), "its last two tasks were never launched");
     loop.pass(TestData.LEASE_S * 1.1);
     up("host-2");
@@ -98,14 +98,14 @@
     "true, wk-1/0, false",
     "true, wk-2/0, false",
   })
-  void heartbeatOfUnreconciledMachineDoesNotTellTheZoneOfItsTask(
+  void heartbeatOfUnreconciledMachineDoesNotProveTheZoneOfItsTask(
       boolean oneZone, String possibleOnThird, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     Set<TaskId> possibleTasks =
         possibleOnThird.isEmpty() ? null : Set.of(new TaskId(possibleOnThird.substring(0, 4), 0));
     cluster.addRegistered("host-3", 90, possibleTasks);
     up("host-2");
-    boundToZones(oneZone, false, 1);
+    addJobWithZoneConstraint(oneZone, false, 1);
     cluster.heartbeatReceived(
         heartbeat(
             "host-1",
@@ -124,7 +124,7 @@
     assertTrue(placeable(), "the task is there, and so nowhere else");
   }
 
-  private void boundToZones(boolean oneZone, boolean spread, int launchWatermark) {
+  private void addJobWithZoneConstraint(boolean oneZone, boolean spread, int launchWatermark) {
     JobSpec plain = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
     cluster.addJob(
         JobBuilder.copyOf(plain).zoneConstraints(oneZone, spread).build(),
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -143,7 +143,7 @@
     Machine machine = up("host-1");
     job(101);
     loop.pass(5);
-    cluster.registry().cordonSilent();
+    cluster.registry().cordonSilentMachines();
     assertEquals(List.of(machine), cluster.registry().takeCordonedMachines());
     cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
     assertFalse(machine.isSchedulable(loop.now()));
@@ -152,7 +152,7 @@
     cluster.registry().markRegistered(List.of(machine));
     assertTrue(machine.isSchedulable(loop.now()));
     cluster.machineRemoved(machine, "returned");
-    assertTrue(cluster.registry().removedMachines().contains("host-1"));
+    assertTrue(cluster.registry().removedMachineIds().contains("host-1"));
   }
 
   @Test
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -26,7 +26,7 @@
    */
   @ParameterizedTest
   @CsvSource({"true, 1, true", "true, 24, false", "false, 1, true", "false, 20, false"})
-  void preemptionNoticeStopsTasksThatCannotEndInTime(
+  void preemptionNoticeStopsTasksThatCannotFinishInTime(
       boolean supportsCheckpoints, double ranS, boolean stopped) {
     JobSpec job =
         JobBuilder.job("wk-1", "red", Priority.STANDARD)
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void machineIsMovableOnlyOnceItsCheckpointingTasksRanForAWhile() {
+  void machineIsMovableOnlyAfterItsCheckpointingTasksRanForTheMinimumTime() {
     JobSpec job =
         JobBuilder.job("wk-1", "red", Priority.STANDARD)
             .cpus(4)
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -16,7 +16,7 @@
 
 /** Machines whose heartbeats arrive, and that receive nothing of what they are sent. */
 class UnresponsiveMachineTest extends ClusterTestBase {
-  private CommandBatch lostLaunch(Machine machine) {
+  private CommandBatch launchWithUnknownDelivery(Machine machine) {
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     return batch;
@@ -40,7 +40,7 @@
     job(101);
     long epoch = 1;
     if (what.startsWith("launch")) {
-      CommandBatch batch = lostLaunch(machine);
+      CommandBatch batch = launchWithUnknownDelivery(machine);
       if (what.endsWith("is seen")) {
         cluster.heartbeatReceived(
             heartbeat(
@@ -63,7 +63,7 @@
       if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
         cluster.heartbeatReceived(heartbeat("host-1", epoch, ++sequence, TERM));
       } else {
-        machine.health().countSilenceFrom(loop.now());
+        machine.health().restartSilenceTimer(loop.now());
       }
       cluster.unresponsiveMachines().detect();
       if (what.endsWith("is received")) {
@@ -84,7 +84,7 @@
    */
   @ParameterizedTest
   @CsvSource({"true, true", "false, false"})
-  void pauseOfThisControllerMakesNoMachineSilentOrUnresponsive(
+  void controllerPauseDoesNotMakeMachinesSilentOrUnresponsive(
       boolean pauseDetected, boolean usable) {
     job(101);
     Machine machine = up("host-1");
@@ -95,10 +95,10 @@
     if (pauseDetected) {
       cluster.onProcessPause();
     }
-    cluster.registry().cordonSilent();
+    cluster.registry().cordonSilentMachines();
     assertEquals(usable, machine.isSchedulable(loop.now()));
     assertEquals(usable, cluster.registry().takeCordonedMachines().isEmpty());
-    other.health().countSilenceFrom(loop.now());
+    other.health().restartSilenceTimer(loop.now());
     cluster.unresponsiveMachines().detect();
     assertEquals(
         !usable,
@@ -135,10 +135,10 @@
    * is not there.
    */
   @Test
-  void newEpochOfUnresponsiveMachineFreesItsLaunchedTasks() {
+  void newEpochOfUnresponsiveMachineLetsItsLaunchedTasksBePlacedAgain() {
     Machine machine = up("host-1");
     job(101);
-    lostLaunch(machine);
+    launchWithUnknownDelivery(machine);
     cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
     assertFalse(placeable(), "the launch may yet arrive");
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM));
