--- a/src/main/java/org/saffronshore/cluster/ImageCache.java
+++ b/src/main/java/org/saffronshore/cluster/ImageCache.java
@@ -5,31 +5,36 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Images that a machine is believed to hold; the least recently used one is dropped first. */
+/**
+ * The images that a machine is assumed to have cached; the least recently used is evicted first.
+ */
 final class ImageCache {
-  /** Sizes in GB. */
+  /** Image sizes in GB, least recently used first. */
   private final Map<String, Double> sizes = new LinkedHashMap<>(16, 0.75f, true);
 
   private final Set<String> images = Collections.unmodifiableSet(sizes.keySet());
 
-  /** A live view. */
+  /** Returns a live view of the cached images. */
   Set<String> images() {
     return images;
   }
 
-  /** A task with the image starts: other images go as far as they exceed the capacity. */
-  void recordUse(String image, double gb, double capacityGb) {
-    sizes.put(image, gb);
-    double sum = 0;
+  /**
+   * Records that a task with the image starts, and evicts other images, least recently used first,
+   * until the rest fit into the capacity.
+   */
+  void recordUse(String image, double sizeGb, double capacityGb) {
+    sizes.put(image, sizeGb);
+    double totalGb = 0;
     for (double size : sizes.values()) {
-      sum += size;
+      totalGb += size;
     }
-    var oldest = sizes.entrySet().iterator();
-    while (sum > capacityGb && oldest.hasNext()) {
-      var entry = oldest.next();
+    var leastRecentlyUsed = sizes.entrySet().iterator();
+    while (totalGb > capacityGb && leastRecentlyUsed.hasNext()) {
+      var entry = leastRecentlyUsed.next();
       if (!entry.getKey().equals(image)) {
-        sum -= entry.getValue();
-        oldest.remove();
+        totalGb -= entry.getValue();
+        leastRecentlyUsed.remove();
       }
     }
   }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -13,35 +13,37 @@
 /**
  * A rented machine as the leader knows it.
  *
- * <p>Its life cycle has no single state, since what is known of it comes from four independent
- * sources. {@link #isSchedulable} is the one place that combines them. New tasks are placed on a
- * machine that is, at the same time,
+ * <p>The life cycle of a machine has no single state, since the information about it comes from
+ * four independent sources. {@link #isSchedulable} is the only place that combines them. New tasks
+ * are placed on a machine to which all of these apply:
  *
  * <ul>
- *   <li>up: a message of its worker has arrived and its lease has not run out since. A machine that
- *       is not up is starting, or lost; it may be up again later;
- *   <li>reconciled: a message has shown this term's fencing token. Once true, it stays so;
- *   <li>registered, and so not cordoned ({@link RegistryEntry});
+ *   <li>up: a message of its worker has arrived, and the worker's lease has not expired since. A
+ *       machine that is not up is starting or lost, and may be up again later;
+ *   <li>reconciled: a message of its worker has shown this term's fencing token. A reconciled
+ *       machine stays reconciled;
+ *   <li>registered, and therefore not cordoned ({@link RegistryEntry});
  * </ul>
  *
- * <p>and of which none of these is true:
+ * <p>and to which none of these applies:
  *
  * <ul>
- *   <li>failed, returning, draining, or under a preemption notice: it leaves, and nothing undoes
- *       that;
- *   <li>quarantined: it failed {@link MachineHealth#MAX_CONSECUTIVE_FAILURES} tasks in a row; a
- *       task that completes there ends that;
- *   <li>in backoff, after a refusal or a failure, until a given moment;
- *   <li>silent: heartbeats that were due have not arrived; the next one ends that;
- *   <li>unresponsive: heartbeats arrive and commands do not; proof of a command's arrival ends
- *       that;
- *   <li>holder of a task of a job that ended before this term, since nobody knows its size.
+ *   <li>failed, returning, draining, or under a preemption notice: the machine is leaving, and
+ *       nothing reverts that;
+ *   <li>quarantined: {@link MachineHealth#MAX_CONSECUTIVE_FAILURES} tasks in a row failed on it.
+ *       The quarantine ends when a task completes there;
+ *   <li>in backoff, until a given moment after a refusal or a failure;
+ *   <li>silent: heartbeats that were due have not arrived. The next heartbeat ends this;
+ *   <li>unresponsive: its heartbeats arrive, but it seems to receive no commands. Proof that a
+ *       command has arrived ends this;
+ *   <li>holding a task of a job that ended before this term, since the size of that task is
+ *       unknown.
  * </ul>
  */
 public final class Machine {
   private final String id;
 
-  // What it is
+  // Description
 
   private @Nullable String type;
   private @Nullable String zone;
@@ -57,7 +59,7 @@
   private boolean draining;
   private double preemptedAt = Double.NaN;
 
-  /** When the machine was first known to exist. */
+  /** Earliest moment at which the machine is known to have existed. */
   private double knownToExistSince;
 
   private double rentedAt;
@@ -73,11 +75,13 @@
 
   private final MachineTasks tasks;
 
-  /** What the scheduling cycle sees of it; null when something that it shows has changed. */
+  /** View for the scheduling cycle; null when something that it shows has changed. */
   private @Nullable MachineView cachedView;
 
   /**
-   * @param silentAfterS after this time without a heartbeat it gets no more tasks
+   * Creates a machine that has not been heard from.
+   *
+   * @param silentAfterS the time without a heartbeat after which the machine gets no more tasks
    */
   Machine(String id, double silentAfterS, double now) {
     this.id = id;
@@ -91,17 +95,19 @@
     return id;
   }
 
-  /** Type, zone and whether it is a spot machine. */
+  /** Returns the type, the zone and whether it is a spot machine. */
   public MachineKind kind() {
     return new MachineKind(type, zone, spot);
   }
 
-  /** The name of its type; null as long as neither the cloud nor the worker has named it. */
+  /**
+   * Returns the name of the machine type, or null until the cloud or the worker has reported it.
+   */
   public @Nullable String type() {
     return type;
   }
 
-  /** Null as long as neither the cloud nor the worker has named it. */
+  /** Returns the zone, or null until the cloud or the worker has reported it. */
   public @Nullable String zone() {
     return zone;
   }
@@ -110,7 +116,7 @@
     return spot;
   }
 
-  /** Where its worker receives commands; null as long as that is not known. */
+  /** Returns the address at which the worker receives commands, or null until it is known. */
   public @Nullable Address address() {
     return address;
   }
@@ -127,7 +133,7 @@
 
   // Life cycle
 
-  /** Whether new tasks may be placed on it. */
+  /** Returns whether new tasks may be placed on the machine. */
   public boolean isSchedulable(double now) {
     return up
         && reconciled
@@ -143,15 +149,18 @@
         && !tasks.hasTaskOfUnknownSize();
   }
 
-  /** Whether the machine can be counted on for later: it works, stays, and is heard. */
+  /**
+   * Returns whether the machine can be counted on as future capacity: it is not leaving, shows no
+   * fault, and has not gone silent before it was reconciled.
+   */
   boolean isReliable(double now) {
     boolean leaving = failed || returning || hasPreemptionNotice();
-    boolean neverReconciled = up && !reconciled && health.isSilent(now);
-    boolean faulty = health.isQuarantined() || health.isUnresponsive() || neverReconciled;
+    boolean silentUnreconciled = up && !reconciled && health.isSilent(now);
+    boolean faulty = health.isQuarantined() || health.isUnresponsive() || silentUnreconciled;
     return !leaving && !faulty;
   }
 
-  /** Whether a message of its worker has arrived, and its lease has not run out since. */
+  /** Returns whether a message of the worker has arrived and its lease has not expired since. */
   public boolean isUp() {
     return up;
   }
@@ -166,7 +175,7 @@
     tasks.setIdleSince(now);
   }
 
-  /** Its worker's lease must have run out: messages of its epoch are ignored from now on. */
+  /** The worker's lease must have expired: messages of its epoch are ignored from now on. */
   void leaseExpired() {
     epochs.expire();
     up = false;
@@ -176,7 +185,7 @@
     return reconciled;
   }
 
-  /** Its worker has shown this term's fencing token, and so rejects earlier leaders. */
+  /** The worker has shown this term's fencing token, so it rejects commands of earlier leaders. */
   void markReconciled() {
     reconciled = true;
   }
@@ -185,7 +194,7 @@
     return failed;
   }
 
-  /** The cloud says that it has failed: it has stopped, and never runs again. */
+  /** The cloud reports that the machine has failed: it has stopped and will never run again. */
   void markFailed() {
     failed = true;
   }
@@ -202,7 +211,7 @@
     return draining;
   }
 
-  /** Its tasks are moved elsewhere, so that it can be returned. */
+  /** The tasks of the machine are moved to other machines so that it can be returned. */
   void markDraining() {
     draining = true;
   }
@@ -215,7 +224,7 @@
     preemptedAt = moment;
   }
 
-  /** Heartbeats, commands and failures: what it can be trusted with. */
+  /** Returns the health of the machine as shown by heartbeats, commands and task failures. */
   MachineHealth health() {
     return health;
   }
@@ -225,7 +234,7 @@
     invalidateView();
   }
 
-  /** Whether it failed too many tasks in a row to be given more. */
+  /** Returns whether too many tasks in a row failed on the machine for it to get more. */
   public boolean isQuarantined() {
     return health.isQuarantined();
   }
@@ -234,7 +243,7 @@
     return knownToExistSince;
   }
 
-  /** It is known to have existed at this moment. */
+  /** The machine is known to have existed at the given moment. */
   void recordExistence(double moment) {
     knownToExistSince = Math.min(knownToExistSince, moment);
   }
@@ -247,12 +256,12 @@
     rentedAt = moment;
   }
 
-  /** Since when it has had no attempts; infinity while it has some. */
+  /** Returns the moment since which the machine has had no attempts; infinity while it has some. */
   public double idleSince() {
     return tasks.idleSince();
   }
 
-  // What is known of its worker
+  // Worker and registry entry
 
   WorkerEpochs epochs() {
     return epochs;
@@ -278,13 +287,13 @@
     return images;
   }
 
-  // Its tasks
+  // Tasks
 
   MachineTasks tasks() {
     return tasks;
   }
 
-  /** What is, or may be, on it in this moment; a live view. */
+  /** Returns a live view of the attempts that are, or may be, on the machine. */
   public Collection<Attempt> attempts() {
     return tasks.attempts();
   }
@@ -297,7 +306,7 @@
     return tasks.attempts().isEmpty();
   }
 
-  /** CPUs of its attempts as far as their sizes are known. */
+  /** Returns the CPUs of all attempts whose size is known. */
   public double usedCpus() {
     return tasks.attempts().stream()
         .map(Attempt::job)
@@ -305,39 +314,43 @@
         .sum();
   }
 
-  /** An attempt is decided: the machine is idle no more. */
+  /** Adds an attempt that this leader has decided to launch; the machine is no longer idle. */
   void placeAttempt(Attempt attempt) {
     tasks.place(attempt);
     invalidateView();
   }
 
-  /** The worker shows an attempt that this leader did not know; what it replaces, or null. */
+  /**
+   * Adds an attempt that the worker reports and that this leader did not know.
+   *
+   * @return the attempt that it replaces, or null
+   */
   @Nullable Attempt adoptAttempt(Attempt attempt) {
     invalidateView();
     return tasks.adopt(attempt);
   }
 
-  /** Nothing of the attempt is here any more. */
+  /** Removes an attempt that is no longer on the machine. */
   void removeAttempt(Attempt attempt, double now) {
     invalidateView();
     tasks.remove(attempt, now);
   }
 
-  /** Nothing runs on it any more, and its worker keeps no exited attempts. */
+  /** Nothing runs on the machine any more, and its worker keeps no exited attempts. */
   void allTasksEnded(double now) {
     tasks.clearExited();
     tasks.setIdleSince(now);
   }
 
-  /** The worker has begun another epoch, and kept nothing from the one before. */
+  /** The worker has begun a new epoch and kept no exited attempts of the previous one. */
   void clearExited() {
     tasks.clearExited();
     invalidateView();
   }
 
-  // What others see of it
+  // View for the scheduling cycle
 
-  /** What the scheduling cycle sees of it, made anew only after something of it has changed. */
+  /** Returns the view for the scheduling cycle, which is rebuilt only after a change. */
   MachineView view(MachineType machineType) {
     MachineView view = cachedView;
     if (view == null || view.isModified()) {
@@ -348,7 +361,7 @@
         view.add(
             new PlacedTask(
                 attempt.task(),
-                Objects.requireNonNull(attempt.job(), "of a schedulable machine"),
+                Objects.requireNonNull(attempt.job(), "job of an attempt on a schedulable machine"),
                 attempt.stopping(),
                 attempt.runningSince(),
                 attempt.isExemptFromPreemption()));
@@ -358,13 +371,13 @@
     return view;
   }
 
-  /** What is known of its tasks has changed other than by a heartbeat. */
+  /** Handles a change of the machine or its tasks that does not come from a heartbeat. */
   void invalidateView() {
     cachedView = null;
     tasks.clearLastApplied();
   }
 
-  /** The tasks of a heartbeat are about to be applied. */
+  /** Called before the tasks of a heartbeat are applied. */
   void beforeTasksApplied() {
     cachedView = null;
   }
--- a/src/main/java/org/saffronshore/cluster/MachineHealth.java
+++ b/src/main/java/org/saffronshore/cluster/MachineHealth.java
@@ -1,18 +1,18 @@
 package org.saffronshore.cluster;
 
 /**
- * Whether a machine can be trusted with tasks: whether its heartbeats arrive, whether it receives
- * commands, and whether the tasks that it is given fail.
+ * The health of a machine: whether its heartbeats arrive, whether it receives commands, and whether
+ * the tasks that are launched on it fail.
  */
 final class MachineHealth {
-  /** A machine that fails this many tasks in a row is quarantined. */
+  /** A machine on which this many tasks in a row have failed is quarantined. */
   static final int MAX_CONSECUTIVE_FAILURES = 2;
 
   private final double silentAfterS;
 
   /**
-   * From when its silence counts: its last heartbeat, its first status, or when this controller
-   * resumed after a pause.
+   * The moment from which the time without heartbeats is measured: the last heartbeat, the first
+   * status, or the moment at which this controller resumed after a pause.
    */
   private double silenceTimerStartedAt = Double.NEGATIVE_INFINITY;
 
@@ -22,13 +22,18 @@
   private double backoffUntil = Double.NEGATIVE_INFINITY;
 
   /**
-   * @param silentAfterS after this time without a heartbeat it is silent
+   * Creates the health of a machine that has not been heard from.
+   *
+   * @param silentAfterS the time without a heartbeat after which the machine is silent
    */
   MachineHealth(double silentAfterS) {
     this.silentAfterS = silentAfterS;
   }
 
-  /** Whether heartbeats that were due have not arrived: it may hang, or be cut off. */
+  /**
+   * Returns whether heartbeats that were due have not arrived: the machine may hang or be
+   * disconnected.
+   */
   boolean isSilent(double now) {
     return isSilentFor(silentAfterS, now);
   }
@@ -45,7 +50,7 @@
     silenceTimerStartedAt = moment;
   }
 
-  /** Whether its heartbeats arrive, and it seems to receive no commands. */
+  /** Returns whether the machine's heartbeats arrive but it seems to receive no commands. */
   boolean isUnresponsive() {
     return unresponsive;
   }
@@ -63,7 +68,7 @@
     unresponsive = false;
   }
 
-  /** Whether it failed too many tasks in a row to be given more. */
+  /** Returns whether too many tasks in a row failed on the machine for it to get more. */
   boolean isQuarantined() {
     return consecutiveFailures >= MAX_CONSECUTIVE_FAILURES;
   }
@@ -81,9 +86,9 @@
   }
 
   /**
-   * A task has failed.
+   * A task has failed on the machine.
    *
-   * @param backoffS the backoff for each failure in a row
+   * @param backoffS the backoff per consecutive failure
    */
   void taskFailed(double now, double backoffS) {
     consecutiveFailures++;
@@ -94,7 +99,7 @@
     consecutiveFailures = 0;
   }
 
-  /** It has refused a task, and gets no others for a while. */
+  /** The machine has refused a task, and gets no others until the backoff ends. */
   void taskRefused(double backoffEndsAt) {
     backoffUntil = backoffEndsAt;
   }
--- a/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
@@ -13,16 +13,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How machines come and go: from the registry of earlier terms, from the cloud's responses and
- * lists, and by the expiry of their workers' leases.
+ * Adds, updates and removes machines according to the registry of earlier terms, the cloud's
+ * responses and machine lists, and the expiry of the workers' leases.
  */
 final class MachineLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
-  /** A list of the cloud may be older than the usual lag, and older than the one before it. */
+  /**
+   * Maximum age of a machine list, in multiples of the usual lag of the cloud: a list may be older
+   * than the usual lag, and older than the list received before it.
+   */
   private static final double MAX_LIST_AGE_LAGS = 2.25;
 
-  /** A lease counts as expired this part of a heartbeat interval after it must have run out. */
+  /**
+   * A lease is treated as expired one heartbeat interval divided by this number after the moment by
+   * which it must have expired.
+   */
   private static final double EXPIRY_SLACK_DIVISOR = 30;
 
   private final EventLoop loop;
@@ -34,7 +40,7 @@
   private final MachineRegistry registry;
   private final CommandQueue commandQueue;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Called after an event that may allow a task to be placed. */
   private final Runnable onChange;
 
   MachineLifecycle(
@@ -59,10 +65,11 @@
   }
 
   /**
-   * A machine that an earlier leader gave tasks to, or may have. The longer ago it is sure to have
-   * existed, the sooner a list of the cloud that lacks it proves that it does not exist any more.
+   * Adds a machine on which an earlier leader launched tasks or may have done so.
    *
-   * @param possibleTasks all that it can hold, or null when that may be anything
+   * @param ageS how long ago the machine is certain to have existed. The greater it is, the earlier
+   *     a machine list without the machine proves that it no longer exists
+   * @param possibleTasks all tasks that the machine may hold, or null if it may hold any task
    */
   void addRegistered(String id, double ageS, @Nullable Set<TaskId> possibleTasks) {
     Machine machine = machines.getOrCreate(id);
@@ -81,7 +88,7 @@
     }
   }
 
-  /** The cloud has responded to a rental request with this machine. */
+  /** The cloud has granted this machine in response to a rental request. */
   void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
     if (machines.isRemoved(id)) {
       return;
@@ -91,7 +98,7 @@
     machine.rentedAt(requestedAt);
   }
 
-  /** One line of the cloud's list. */
+  /** Applies one entry of the cloud's machine list. */
   void machineListed(ListedMachine listed) {
     String id = listed.id();
     if (machines.isRemoved(id)) {
@@ -114,14 +121,14 @@
       commandQueue.markDue(machine);
     }
     if (listed.failed() && !machine.hasFailed()) {
-      // A failed machine has stopped of its own accord: nothing on it runs, now or later.
+      // A failed machine has already stopped: nothing runs on it, now or later.
       LOG.debug("Machine failed: machine={}", id);
       machine.markFailed();
       endAllAttempts(machine);
     }
   }
 
-  /** Takes the first address that is known of a machine; it never changes. */
+  /** Sets the address of a machine unless it is known already; the address never changes. */
   static void setAddress(Machine machine, @Nullable String address) {
     if (machine.address() == null && address != null) {
       try {
@@ -133,9 +140,10 @@
   }
 
   /**
-   * Removes what a complete list of the cloud lacks. A list may be up to twice the usual lag old,
-   * and older than the one before it, so only of machines that were known well before the request
-   * can it prove that they do not exist any more.
+   * Removes machines that are missing from a complete machine list of the cloud. A list may be up
+   * to twice the usual lag old, and older than the list received before it. It therefore proves
+   * that a machine no longer exists only if the machine was known well before the list was
+   * requested.
    */
   void removeUnlisted(Set<String> ids, double requestedAt) {
     double knownBefore =
@@ -149,7 +157,7 @@
     }
   }
 
-  /** The machine does not exist any more, and nothing on it. */
+  /** The machine no longer exists, and neither does anything that it held. */
   void machineRemoved(Machine machine, String reason) {
     LOG.debug(
         "Machine removed: machine={} reason={} tasks={}",
@@ -161,7 +169,7 @@
     registry.machineRemoved(machine);
   }
 
-  /** Nothing runs on the machine any more. */
+  /** Handles that nothing runs on the machine any more: all its attempts end. */
   private void endAllAttempts(Machine machine) {
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
       attempts.end(attempt);
@@ -171,15 +179,15 @@
     onChange.run();
   }
 
-  /** The cloud has been asked to take the machine back: nothing new may start there. */
+  /** The cloud is asked to take the machine back: no further task may be placed on it. */
   void markReturning(Machine machine) {
     machine.markReturning();
     onChange.run();
   }
 
   /**
-   * Releases every machine whose worker's lease must have run out since the last response that may
-   * have renewed it.
+   * Ends all attempts of every machine whose worker's lease must have expired, counted from the
+   * last response that may have renewed it.
    */
   void expireLeases() {
     double now = loop.now();
--- a/src/main/java/org/saffronshore/cluster/MachineRegistry.java
+++ b/src/main/java/org/saffronshore/cluster/MachineRegistry.java
@@ -7,14 +7,14 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * What is to be written about machines for the next leader. Tasks are placed on a machine only
- * while its entry is known to say that it may hold anything.
+ * The changes of the machine registry that are still to be written for the next leader. Tasks are
+ * placed on a machine only while its entry is known to say that the machine may hold any task.
  */
 public final class MachineRegistry {
   private final EventLoop loop;
   private final MachineTable machines;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Called after an event that may allow a task to be placed. */
   private final Runnable onChange;
 
   private final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
@@ -27,7 +27,7 @@
     this.onChange = onChange;
   }
 
-  /** The machine is ready for tasks except for its entry. */
+  /** Requests an entry for a machine that is ready for tasks except for being registered. */
   void requestRegistration(Machine machine) {
     machine.registryEntry().uncordon();
     unregisteredMachines.add(machine);
@@ -39,19 +39,21 @@
     }
   }
 
-  /** Whether there is anything to be written. */
+  /** Returns whether any change is still to be written. */
   public boolean hasPendingWrites() {
     return !unregisteredMachines.isEmpty()
         || !removedMachineIds.isEmpty()
         || !newlyCordonedMachines.isEmpty();
   }
 
-  /** Machines that do not exist any more, whose entries are to be removed; a live view. */
+  /**
+   * Returns a live view of the machines that no longer exist and whose entries are to be removed.
+   */
   public Set<String> removedMachineIds() {
     return removedMachineIds;
   }
 
-  /** Cordons silent machines, so that what they hold at most can be written. */
+  /** Cordons silent machines, so that the tasks that they may hold can be written. */
   public void cordonSilentMachines() {
     double now = loop.now();
     for (Machine machine : machines.all()) {
@@ -65,7 +67,7 @@
     }
   }
 
-  /** Takes the machines whose entries are to say what they hold at most. */
+  /** Takes the machines whose entries are to list the tasks that they may hold. */
   public List<Machine> takeCordonedMachines() {
     List<Machine> cordoned =
         newlyCordonedMachines.stream()
@@ -75,14 +77,17 @@
     return cordoned;
   }
 
-  /** Machines that are ready for tasks except for their entries, which are written from now on. */
+  /**
+   * Returns the machines that are ready for tasks except for being registered, and records that the
+   * write of their entries has started.
+   */
   public List<Machine> unregisteredMachines() {
     unregisteredMachines.removeIf(machine -> !machines.contains(machine));
     unregisteredMachines.forEach(machine -> machine.registryEntry().writeStarted());
     return new ArrayList<>(unregisteredMachines);
   }
 
-  /** The state service has confirmed their entries. */
+  /** The state service has confirmed the entries of the machines. */
   public void markRegistered(List<Machine> registered) {
     for (Machine machine : registered) {
       machine.registryEntry().writeConfirmed();
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -9,26 +9,29 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * The machines of one term, those that were removed, and the machine types of the cloud. What
- * changes a machine's life cycle is done by {@link MachineLifecycle}.
+ * The machines of one term, the machines that were removed in it, and the machine types of the
+ * cloud. {@link MachineLifecycle} handles the events that change a machine's life cycle.
  */
 final class MachineTable {
-  /** A machine counts as silent when so many heartbeat intervals have passed without one. */
+  /** Number of heartbeat intervals without a heartbeat after which a machine is silent. */
   private static final double SILENT_AFTER_INTERVALS = 1.4;
 
-  /** Heartbeats of removed machines may come late, but not by so many leases. */
+  /**
+   * Number of leases for which a removed machine is remembered. Its heartbeats may arrive late, but
+   * not that late.
+   */
   private static final double REMOVED_RETENTION_LEASES = 20;
 
   private final EventLoop loop;
   private final Settings settings;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** When machines were removed; the longest ago first. */
+  /** Removal times of machines, in order of removal. */
   private final Map<String, Double> removedAt = new LinkedHashMap<>();
 
   private Map<String, MachineType> types = Map.of();
 
-  /** This controller has not paused since then. */
+  /** The moment since which this controller has not paused. */
   private double resumedAt;
 
   MachineTable(EventLoop loop, Settings settings) {
@@ -37,7 +40,7 @@
     this.resumedAt = loop.now();
   }
 
-  /** A live view. */
+  /** Returns a live view of the machines. */
   Collection<Machine> all() {
     return machines.values();
   }
@@ -46,7 +49,7 @@
     return machines.get(id);
   }
 
-  /** Whether the table has this very machine, which was not removed meanwhile. */
+  /** Returns whether the table holds this very object: the machine has not been removed since. */
   boolean contains(Machine machine) {
     return machines.get(machine.id()) == machine;
   }
@@ -61,7 +64,7 @@
     return machine;
   }
 
-  /** Whether the machine was removed: its heartbeats are late ones. */
+  /** Returns whether the machine was removed, so that a heartbeat of it is a late one. */
   boolean isRemoved(String id) {
     return removedAt.containsKey(id);
   }
@@ -81,13 +84,13 @@
     return types;
   }
 
-  /** Null as long as the machine's type, or all types, are not known. */
+  /** Returns the machine's type, or null while the type or the list of types is not known. */
   @Nullable MachineType typeOf(Machine machine) {
     String type = machine.type();
     return type == null ? null : types.get(type);
   }
 
-  /** Takes the cloud's current machine types; false when they are the same as before. */
+  /** Sets the machine types of the cloud; returns whether they differ from the previous ones. */
   boolean updateTypes(Map<String, MachineType> newTypes) {
     if (newTypes.equals(types)) {
       return false;
@@ -100,21 +103,25 @@
   // Silence
 
   /**
-   * This controller has paused until now. That it received nothing meanwhile is no machine's fault:
-   * hundreds would count as silent or unresponsive at once. Leases run on, since they count from
-   * the responses that the machines may have received.
+   * This controller has just resumed after a pause. Messages that it did not receive in the pause
+   * must not be held against the machines: otherwise hundreds would become silent or unresponsive
+   * at once. Leases are not extended, since they are counted from the responses that the workers
+   * may have received.
    */
   void onProcessPause() {
     resumedAt = loop.now();
     machines.values().forEach(machine -> machine.health().restartSilenceTimer(resumedAt));
   }
 
-  /** For how long it could have received messages, since a moment: not while it paused. */
+  /**
+   * Returns for how many seconds since a moment, or since its last pause if that was later, this
+   * controller has been able to receive messages.
+   */
   double listeningTimeS(double moment) {
     return loop.now() - Math.max(moment, resumedAt);
   }
 
-  /** Whether most machines that are up have been silent for a while. */
+  /** Returns whether more than half of the machines that are up have been silent for a duration. */
   boolean isMostlySilent(double durationS) {
     double now = loop.now();
     int up = 0;
--- a/src/main/java/org/saffronshore/cluster/MachineTasks.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTasks.java
@@ -11,34 +11,34 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What is, or may be, on one machine: its attempts, and those that are over but still in the
- * worker's heartbeats. Attempts are added and removed through {@link Machine}.
+ * The attempts that are, or may be, on one machine, and the exited attempts that its worker still
+ * reports in its heartbeats. Attempts are added and removed through {@link Machine}.
  */
 final class MachineTasks {
   private final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
   private final Map<TaskId, Attempt> exited = new LinkedHashMap<>();
 
-  /** The tasks of the last heartbeat, as long as nothing else has happened to them since. */
+  /** Tasks of the last heartbeat; null if something else has changed the tasks since. */
   private @Nullable List<Heartbeat.TaskStatus> lastApplied;
 
-  /** Infinity while there are attempts. */
+  /** Moment since which there have been no attempts; infinity while there are some. */
   private double idleSince;
 
   MachineTasks(double now) {
     this.idleSince = now;
   }
 
-  /** A live view. */
+  /** Returns a live view of the attempts. */
   Collection<Attempt> attempts() {
     return attempts.values();
   }
 
-  /** A copy, for callers that end attempts on the way. */
+  /** Returns a copy of the attempts, for callers that end attempts while they iterate. */
   List<Attempt> attemptsCopy() {
     return new ArrayList<>(attempts.values());
   }
 
-  /** The tasks of the attempts; a live view. */
+  /** Returns a live view of the tasks of the attempts. */
   Set<TaskId> taskIds() {
     return attempts.keySet();
   }
@@ -47,7 +47,7 @@
     return attempts.get(task);
   }
 
-  /** Whether the size of one of the tasks is not known. */
+  /** Returns whether there is an attempt whose job, and so its size, is not known. */
   boolean hasTaskOfUnknownSize() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.job() == null) {
@@ -57,7 +57,10 @@
     return false;
   }
 
-  /** Whether a task may not be placed here, since a trace of it is still on the machine. */
+  /**
+   * Returns whether the machine has an attempt at the task, or an exited one that its worker still
+   * reports, so that the task may not be placed on it.
+   */
   boolean hasTraceOf(TaskId task) {
     return attempts.containsKey(task) || exited.containsKey(task);
   }
@@ -67,7 +70,7 @@
     idleSince = Double.POSITIVE_INFINITY;
   }
 
-  /** Adds an attempt; the one that it replaces, or null. */
+  /** Adds an attempt that the worker reports; returns the attempt that it replaces, or null. */
   @Nullable Attempt adopt(Attempt attempt) {
     return attempts.put(attempt.task(), attempt);
   }
@@ -81,7 +84,7 @@
 
   // Exited attempts
 
-  /** Attempts that are over but still in the worker's heartbeats; a live view. */
+  /** Returns a live view of the exited attempts that the worker still reports. */
   Collection<Attempt> exited() {
     return exited.values();
   }
@@ -100,7 +103,7 @@
 
   // Idle time
 
-  /** Since when there have been no attempts; infinity while there are some. */
+  /** Returns the moment since which there have been no attempts; infinity while there are some. */
   double idleSince() {
     return idleSince;
   }
@@ -117,7 +120,10 @@
 
   // Heartbeats
 
-  /** Whether these were applied last, and nothing else has happened to the tasks since. */
+  /**
+   * Returns whether these statuses were the last ones applied, and nothing else has changed the
+   * tasks since.
+   */
   boolean isUpToDateWith(List<Heartbeat.TaskStatus> statuses) {
     return statuses.equals(lastApplied);
   }
@@ -126,7 +132,10 @@
     lastApplied = statuses;
   }
 
-  /** Something else than a heartbeat has changed the tasks: the next one is applied anyway. */
+  /**
+   * Handles a change of the tasks that does not come from a heartbeat: the next heartbeat is
+   * applied even if it equals the last one.
+   */
   void clearLastApplied() {
     lastApplied = null;
   }
--- a/src/main/java/org/saffronshore/cluster/PossibleTasks.java
+++ b/src/main/java/org/saffronshore/cluster/PossibleTasks.java
@@ -10,43 +10,43 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * All that a machine can hold from earlier terms as long as it is unreconciled: the tasks that its
- * registry entry names, or anything.
+ * The tasks of earlier terms that a machine may hold while it is unreconciled: those that its
+ * registry entry lists, or any task if the entry has no list.
  */
 final class PossibleTasks {
-  /** Null when it may be anything. */
+  /** Null if the machine may hold any task. */
   private @Nullable Set<TaskId> tasks;
 
-  /** Specifications of those among the tasks whose jobs ended in this term. */
+  /** Job specifications of the possible tasks whose jobs ended in this term. */
   private final Map<TaskId, JobSpec> specsOfEndedJobs = new HashMap<>();
 
-  /** Takes what the registry says; null for anything. */
-  void loaded(@Nullable Set<TaskId> named) {
-    tasks = named == null ? null : new HashSet<>(named);
+  /** Sets the tasks that the registry entry lists; null if the machine may hold any task. */
+  void loaded(@Nullable Set<TaskId> listed) {
+    tasks = listed == null ? null : new HashSet<>(listed);
   }
 
   boolean mayBeAnyTask() {
     return tasks == null;
   }
 
-  /** The tasks that the registry names; none when it may be anything. */
+  /** Returns the tasks that the registry entry lists; empty if the machine may hold any task. */
   Set<TaskId> namedTasks() {
     return tasks == null ? Set.of() : tasks;
   }
 
-  /** The specification of a task's job that ended in this term, or null. */
+  /** Returns the specification of the task's job if that job ended in this term, otherwise null. */
   @Nullable JobSpec specOfEndedJob(TaskId task) {
     return specsOfEndedJobs.get(task);
   }
 
-  /** Whether one of these tasks of a job may be among them. */
+  /** Returns whether the possible tasks may include a task of the job with one of the indexes. */
   boolean includeAny(Job job, BitSet indexes) {
     String id = job.id();
     return tasks == null
         || tasks.stream().anyMatch(task -> task.job().equals(id) && indexes.get(task.index()));
   }
 
-  /** A job is over. Its tasks may still run on the machine, except for the finished ones. */
+  /** Handles the end of a job: its tasks may still run on the machine, except the finished ones. */
   void jobEnded(Job job) {
     if (tasks == null) {
       return;
--- a/src/main/java/org/saffronshore/cluster/Reconciliation.java
+++ b/src/main/java/org/saffronshore/cluster/Reconciliation.java
@@ -5,18 +5,28 @@
 import java.util.Set;
 
 /**
- * What earlier leaders may have left behind, on which nothing may be started twice.
+ * The set of unreconciled machines: machines that may hold tasks launched by earlier leaders which
+ * this leader does not know of. It prevents such tasks from being started a second time.
  *
- * <p>Invariant: a task that an earlier leader may have launched, and that may still run or start,
- * is at every moment either an attempt of a machine, or one of the possible tasks of an
- * unreconciled machine. A machine is unreconciled from when the registry names it until one of
- * these: a message of its worker shows this term's fencing token, its worker's lease must have run
- * out, or the cloud says that it has failed or does not exist. Then its attempts are all that it
- * holds.
+ * <p>Invariant: at every moment, a task that an earlier leader may have launched, and that may
+ * still run or start, is either an attempt of a machine or one of the possible tasks of an
+ * unreconciled machine. A machine becomes unreconciled when the registry of earlier terms names it,
+ * unless its worker has already shown this term's fencing token. It remains so until one of these
+ * events:
  *
- * <p>So a task may be placed when no attempt at it is known and no unreconciled machine may hold
- * it. Jobs that were accepted in this term are exempt, since no earlier leader knew them; so are
- * tasks from the job's launch watermark on, which were never launched.
+ * <ul>
+ *   <li>a message of its worker shows this term's fencing token or a later one;
+ *   <li>its worker's lease must have expired;
+ *   <li>the cloud reports that the machine has failed, or its responses or machine lists show that
+ *       the machine no longer exists.
+ * </ul>
+ *
+ * <p>From then on, its attempts are all that it holds.
+ *
+ * <p>Consequently, a task may be placed when no attempt at it is known and no unreconciled machine
+ * may hold it. Jobs that were accepted in this term are exempt from the second condition, since no
+ * earlier leader knew them; so are tasks at or above the launch watermark that the job had when the
+ * term began, which no earlier leader launched.
  */
 final class Reconciliation {
   private final JobTable jobs;
@@ -26,12 +36,12 @@
     this.jobs = jobs;
   }
 
-  /** The registry of earlier terms names the machine. */
+  /** Adds a machine that the registry of earlier terms names. */
   void add(Machine machine) {
     unreconciled.add(machine);
   }
 
-  /** All that the machine holds is known now, or it holds nothing. */
+  /** Removes a machine whose tasks are now all known, or that holds none. */
   void remove(Machine machine) {
     unreconciled.remove(machine);
   }
@@ -40,22 +50,25 @@
     return unreconciled.contains(machine);
   }
 
-  /** A live view. */
+  /** Returns a live view of the unreconciled machines. */
   Set<Machine> unreconciledMachines() {
     return unreconciled;
   }
 
-  /** A job is over: of its tasks only the unfinished ones may still be on machines. */
+  /** Handles the end of a job: only its unfinished tasks may still be on unreconciled machines. */
   void jobEnded(Job job) {
     unreconciled.forEach(machine -> machine.possibleTasks().jobEnded(job));
   }
 
-  /** Whether tasks of the job may be on unreconciled machines: it is older than this term. */
+  /**
+   * Returns whether tasks of the job may be on unreconciled machines, which is the case while there
+   * are any and the job is older than this term.
+   */
   boolean mayRunOnUnreconciledMachine(Job job) {
     return !unreconciled.isEmpty() && jobs.isOlderThanTerm(job);
   }
 
-  /** Whether a task of the job may be on an unreconciled machine, in a zone that is not known. */
+  /** Returns whether a task of the job may be on an unreconciled machine, in an unknown zone. */
   boolean mayRunInUnknownZone(Job job) {
     if (!mayRunOnUnreconciledMachine(job)) {
       return false;
@@ -66,7 +79,10 @@
             .anyMatch(machine -> machine.possibleTasks().includeAny(job, tasks));
   }
 
-  /** Whether the registry does not name the tasks of one of the unreconciled machines. */
+  /**
+   * Returns whether there is an unreconciled machine whose possible tasks the registry does not
+   * list, so that it may hold any task.
+   */
   boolean anyMayHoldAnyTask() {
     return unreconciled.stream().anyMatch(machine -> machine.possibleTasks().mayBeAnyTask());
   }
--- a/src/main/java/org/saffronshore/cluster/RegistryEntry.java
+++ b/src/main/java/org/saffronshore/cluster/RegistryEntry.java
@@ -1,15 +1,16 @@
 package org.saffronshore.cluster;
 
 /**
- * What the machine registry says of one machine. It is registered when its entry is known to say
- * that it may hold anything; it is cordoned when its entry says, or is going to say, what it holds
- * at most. Tasks are placed on registered machines only, and no machine is both.
+ * The state of one machine's entry in the machine registry. A machine is registered when its entry
+ * is known to say that the machine may hold any task. It is cordoned when its entry lists, or is
+ * going to list, all tasks that it may hold. Tasks are placed on registered machines only, and no
+ * machine is both registered and cordoned.
  */
 final class RegistryEntry {
   private boolean registered;
   private boolean cordoned;
 
-  /** Whether an entry was written, or a write was begun: it has to be removed some day. */
+  /** Whether an entry was written or a write was started, so that it must be removed eventually. */
   private boolean mayExist;
 
   boolean isRegistered() {
@@ -24,21 +25,21 @@
     return registered || mayExist;
   }
 
-  /** The entry of an earlier leader was read. */
-  void loaded(boolean saysWhatItHolds) {
-    registered = !saysWhatItHolds;
-    cordoned = saysWhatItHolds;
+  /** The entry written by an earlier leader was read. */
+  void loaded(boolean listsPossibleTasks) {
+    registered = !listsPossibleTasks;
+    cordoned = listsPossibleTasks;
     mayExist = true;
   }
 
-  /** What the machine holds is going to be written: it gets nothing more. */
+  /** The tasks that the machine may hold are going to be written, so it gets no more tasks. */
   void cordon() {
     registered = false;
     cordoned = true;
     mayExist = true;
   }
 
-  /** The entry is going to be replaced by one that says that the machine may hold anything. */
+  /** The entry is going to be replaced by one which says that the machine may hold any task. */
   void uncordon() {
     cordoned = false;
   }
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -5,23 +5,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds the machines whose heartbeats arrive and that receive nothing. */
+/** Detects machines whose heartbeats arrive but that seem to receive nothing from this leader. */
 public final class UnresponsiveMachineDetector {
   private static final Logger LOG = LoggerFactory.getLogger(UnresponsiveMachineDetector.class);
 
   /**
-   * A machine that shows no sign of having received anything for so many heartbeat intervals counts
-   * as unresponsive.
+   * Number of heartbeat intervals without evidence that the machine has received anything, after
+   * which it is unresponsive.
    */
   private static final double UNRESPONSIVE_AFTER_INTERVALS = 3;
 
-  /** One that has been unresponsive for so many heartbeat intervals is of no use. */
+  /** Number of heartbeat intervals after which an unresponsive machine is unusable. */
   private static final double UNUSABLE_AFTER_INTERVALS = 2;
 
-  /** When more machines than this seem unresponsive, it is this controller that is not heard. */
+  /**
+   * Maximum share of unresponsive machines. If more machines seem unresponsive, the fault is that
+   * this controller cannot reach them.
+   */
   private static final double MAX_UNRESPONSIVE_SHARE = 0.05;
 
-  /** The same where that share is less than one would expect of single faults. */
+  /**
+   * Lower bound of that limit, for clusters so small that the share would be less than what
+   * individual machine faults can account for.
+   */
   private static final int MIN_UNRESPONSIVE_LIMIT = 2;
 
   private final EventLoop loop;
@@ -29,7 +35,7 @@
   private final MachineTable machines;
   private final CommandQueue commandQueue;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Called after an event that may allow a task to be placed. */
   private final Runnable onChange;
 
   UnresponsiveMachineDetector(
@@ -46,13 +52,16 @@
   }
 
   /**
-   * Looks for machines whose heartbeats arrive and that receive nothing: the term's token does not
-   * show, or a launch does not happen. They get no new tasks, and are returned. Their tasks are
-   * placed again when the cloud has confirmed that, or, in the term that launched them, with the
-   * machine's next epoch: launches name the epoch, so none of ours can be executed in a later one.
-   * An epoch that is new to this term proves nothing of what earlier leaders did: they may have
-   * known it, and a launch of theirs may still arrive there as long as the machine does not know
-   * our token. So that is not relied on.
+   * Marks machines as unresponsive whose heartbeats arrive but that seem to receive nothing: either
+   * they do not show this term's fencing token, or a launch does not take effect. They get no new
+   * tasks and are returned. Their tasks are placed again when the cloud has confirmed the return
+   * or, in the term that launched them, when the machine begins its next epoch: a launch names an
+   * epoch, so no launch of this leader can be executed in a later one.
+   *
+   * <p>An epoch that is new to this term proves nothing about the launches of earlier leaders. They
+   * may have known that epoch, and a launch of theirs may still arrive in it as long as the machine
+   * does not know this term's fencing token. A new epoch is therefore not taken as proof that the
+   * tasks of earlier leaders are gone.
    */
   public void detect() {
     double now = loop.now();
@@ -88,7 +97,7 @@
     commandQueue.markDue(machine);
   }
 
-  /** There is proof that a message of ours has reached the machine. */
+  /** A message of this leader has provably reached the machine. */
   void markResponsive(Machine machine) {
     if (machine.health().isUnresponsive()) {
       machine.health().markResponsive();
@@ -97,8 +106,9 @@
   }
 
   /**
-   * Whether a machine has been unresponsive for so long that it is of no use. Should many seem so,
-   * then it is this controller that cannot be heard, and the machines are not to blame.
+   * Returns whether a machine has been unresponsive for so long that it is unusable. If many
+   * machines seem unresponsive, the fault is that this controller cannot reach them, and none is
+   * unusable.
    */
   public boolean isUnusable(Machine machine) {
     if (!machine.health().isUnresponsive()
--- a/src/main/java/org/saffronshore/cluster/WorkerEpochs.java
+++ b/src/main/java/org/saffronshore/cluster/WorkerEpochs.java
@@ -3,8 +3,9 @@
 import org.saffronshore.wire.Heartbeat;
 
 /**
- * How far a worker's messages have come, by epoch and sequence: of all of them, and of the
- * heartbeats that the worker sends by itself. What is not newer is a late message or a copy.
+ * The epoch and sequence of a worker's newest message, kept for all messages and separately for the
+ * heartbeats that the worker sends of its own accord. A message that is not newer is late or a
+ * copy.
  */
 final class WorkerEpochs {
   private static final long NONE = -1;
@@ -14,25 +15,29 @@
   private long heartbeatEpoch;
   private long heartbeatSequence = NONE;
 
-  /** Epochs up to this one are over: messages from them are ignored. */
+  /** Epochs up to and including this one have expired: their messages are ignored. */
   private long lastExpiredEpoch = NONE;
 
-  /** The current epoch; 0 before the first message. */
+  /** Returns the current epoch, or 0 before the first message. */
   long epoch() {
     return epoch;
   }
 
-  /** Whether the message is newer than all before it, in order of epoch and sequence. */
+  /** Returns whether the message is newer, by epoch and sequence, than all previous messages. */
   boolean isNewest(Heartbeat message) {
     return message.isNewerThan(epoch, sequence);
   }
 
-  /** Whether the message is newer than all before it and of an epoch that has not expired. */
+  /** Returns whether the message is newer than all previous ones and its epoch has not expired. */
   boolean isCurrent(Heartbeat message) {
     return message.epoch() > lastExpiredEpoch && isNewest(message);
   }
 
-  /** Records a heartbeat that the worker sent by itself; true when it is the newest of these. */
+  /**
+   * Records a heartbeat that the worker sent of its own accord.
+   *
+   * @return whether it is the newest such heartbeat and its epoch has not expired
+   */
   boolean recordHeartbeat(Heartbeat heartbeat) {
     if (heartbeat.epoch() <= lastExpiredEpoch
         || !heartbeat.isNewerThan(heartbeatEpoch, heartbeatSequence)) {
@@ -51,7 +56,7 @@
     sequence = newSequence;
   }
 
-  /** The lease of the current epoch must have run out. */
+  /** Marks the current epoch as expired, since its lease must have expired. */
   void expire() {
     lastExpiredEpoch = Math.max(lastExpiredEpoch, epoch);
   }
--- a/src/main/java/org/saffronshore/cluster/WorkerLease.java
+++ b/src/main/java/org/saffronshore/cluster/WorkerLease.java
@@ -1,25 +1,26 @@
 package org.saffronshore.cluster;
 
 /**
- * When the lease of a machine's worker may have been renewed, from this leader's point of view: the
- * worker renews it when it receives the response to its heartbeat.
+ * The times at which a worker may have renewed its lease, as far as this leader can tell: the
+ * worker renews its lease when it receives the response to a heartbeat.
  */
 final class WorkerLease {
-  /** The last moment at which the worker may have been sent a renewal. */
+  /** Latest moment from which a renewal of the lease may count. */
   private double renewedAt;
 
-  /** The same before the heartbeat that is being processed. */
+  /** Value of {@link #renewedAt} before the heartbeat that is being processed. */
   private double previouslyRenewedAt = Double.NEGATIVE_INFINITY;
 
   private double firstRenewedAt = Double.NaN;
 
-  /** When the newest message, in order of epoch and sequence, arrived. */
+  /** Arrival time of the newest message, by epoch and sequence. */
   private double newestMessageAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * A heartbeat has arrived whose response renews the lease. One that is not the newest message was
-   * sent before that one arrived. However late it is, and whether it is a copy or not, the response
-   * to it renews the lease for no longer than from then on: copies do not extend a lease for ever.
+   * A heartbeat has arrived whose response renews the lease. A heartbeat that is not the newest
+   * message was sent before the newest message arrived. However late it is, and whether or not it
+   * is a copy, the response to it renews the lease at most as if from that arrival. Copies
+   * therefore cannot extend a lease indefinitely.
    */
   void heartbeatReceived(boolean newest, double now) {
     if (Double.isNaN(firstRenewedAt)) {
@@ -33,7 +34,7 @@
     newestMessageAt = now;
   }
 
-  /** The worker may hold a lease that was renewed at this moment. */
+  /** Records that the worker may hold a lease that was renewed at the given moment. */
   void recordPossibleRenewal(double moment) {
     renewedAt = Math.max(renewedAt, moment);
   }
@@ -46,7 +47,7 @@
     return previouslyRenewedAt;
   }
 
-  /** When this leader first sent a response to a heartbeat; NaN as long as it has not. */
+  /** Returns when this leader first responded to a heartbeat of the worker; NaN before that. */
   double firstRenewedAt() {
     return firstRenewedAt;
   }
