--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -21,12 +21,13 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Epochs, zones and backoffs when several faults meet. */
+/** Tests of epochs, zone constraints and backoffs when several faults coincide. */
 class EpochAndZoneTest extends ClusterTestBase {
   /**
-   * A machine that reaches no controller is sent a command by the new leader, and responds from an
-   * epoch that began a moment ago, when the last one's lease had expired. The new epoch's lease is
-   * as long again, whenever the last one was renewed.
+   * A machine cannot reach any controller. The new leader sends it a command, and it responds from
+   * an epoch that began a moment ago because the lease of the previous epoch had expired. The new
+   * epoch has a full lease of its own, whenever the previous lease was renewed, so tasks must not
+   * be placed elsewhere before it has expired.
    */
   @ParameterizedTest
   @CsvSource({"0.5, false", "1.1, true"})
@@ -55,8 +56,8 @@
   }
 
   /**
-   * Responses to commands say nothing of whether a worker reaches us: what it is given would end
-   * with its lease.
+   * Responses to commands do not show that a worker can reach this controller. Without heartbeats
+   * its lease expires, and tasks that were placed on it would end with the lease.
    */
   @Test
   void machineThatOnlyRespondsToCommandsIsNotSchedulable() {
@@ -71,7 +72,8 @@
   }
 
   /**
-   * A task on a machine that is not reconciled may be in any zone: the others cannot choose theirs.
+   * A task on an unreconciled machine may be in any zone, so no zone can be chosen for the other
+   * tasks of a job with a zone constraint.
    */
   @ParameterizedTest
   @CsvSource({"false, false, true", "true, false, false", "false, true, false"})
@@ -80,7 +82,7 @@
     cluster.addRegistered("host-1", 90, null);
     up("host-2");
     addJobWithZoneConstraint(oneZone, spread, 2);
-    assertEquals(placeable, placeable(), "its last two tasks were never launched");
+    assertEquals(placeable, placeable(), "the last two tasks of the job were never launched");
     loop.pass(TestData.LEASE_S * 1.1);
     up("host-2");
     cluster.expireLeases();
@@ -88,8 +90,8 @@
   }
 
   /**
-   * An old heartbeat of an unreconciled machine shows a task that may be elsewhere by now: it does
-   * not tell the job's zone.
+   * An old heartbeat of an unreconciled machine reports a task that may be on another machine by
+   * now, so it does not prove in which zone the job is.
    */
   @ParameterizedTest
   @CsvSource({
@@ -99,10 +101,12 @@
     "true, wk-2/0, false",
   })
   void heartbeatOfUnreconciledMachineDoesNotProveTheZoneOfItsTask(
-      boolean oneZone, String possibleOnThird, boolean placeable) {
+      boolean oneZone, String possibleTaskOnThird, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
     Set<TaskId> possibleTasks =
-        possibleOnThird.isEmpty() ? null : Set.of(new TaskId(possibleOnThird.substring(0, 4), 0));
+        possibleTaskOnThird.isEmpty()
+            ? null
+            : Set.of(new TaskId(possibleTaskOnThird.substring(0, 4), 0));
     cluster.addRegistered("host-3", 90, possibleTasks);
     up("host-2");
     addJobWithZoneConstraint(oneZone, false, 1);
@@ -113,7 +117,7 @@
             ++sequence,
             TERM - 1,
             taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-    assertEquals(placeable, placeable(), "its other tasks were never launched");
+    assertEquals(placeable, placeable(), "the other tasks of the job were never launched");
     cluster.heartbeatReceived(
         heartbeat(
             "host-1",
@@ -121,7 +125,7 @@
             ++sequence,
             TERM,
             taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "the task is there, and so nowhere else");
+    assertTrue(placeable(), "the task is on host-1, and so on no other machine");
   }
 
   private void addJobWithZoneConstraint(boolean oneZone, boolean spread, int launchWatermark) {
@@ -135,8 +139,8 @@
   }
 
   /**
-   * While machines fail all they start, good jobs look bad. Once that is over they must not wait
-   * for long.
+   * While machines fail every task that they start, sound jobs accumulate failures. Once the
+   * machines work again, such a job must not stay in backoff for longer than a lease.
    */
   @Test
   void jobBackoffIsNeverLongerThanALease() {
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -18,11 +18,11 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** Machines that the cloud takes back, or that are drained and returned. */
+/** Tests of machines that the cloud preempts, or that are drained and returned. */
 class MachineRemovalTest extends ClusterTestBase {
   /**
-   * Whether the task saves checkpoints, the seconds that it ran of an estimated 30 s before a
-   * notice of 14 s, and whether it is stopped at once.
+   * Parameters: whether the task saves checkpoints, for how many seconds of an estimated runtime of
+   * 30 s it had run when a preemption notice of 14 s arrived, and whether it is stopped at once.
    */
   @ParameterizedTest
   @CsvSource({"true, 1, true", "true, 24, false", "false, 1, true", "false, 20, false"})
@@ -77,6 +77,6 @@
     assertTrue(cluster.view().isMovable(machine, 10));
     cluster.drain(machine);
     assertTrue(machine.isDraining() && !machine.isSchedulable(loop.now()));
-    assertFalse(placeable(), "it is there until it has saved");
+    assertFalse(placeable(), "the task stays on the machine until it has saved a checkpoint");
   }
 }
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -6,6 +6,7 @@
 import static org.saffronshore.TestData.heartbeat;
 import static org.saffronshore.TestData.taskStatus;
 
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,7 +15,7 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Machines whose heartbeats arrive, and that receive nothing of what they are sent. */
+/** Tests of machines whose heartbeats arrive but that receive nothing that is sent to them. */
 class UnresponsiveMachineTest extends ClusterTestBase {
   private CommandBatch launchWithUnknownDelivery(Machine machine) {
     CommandBatch batch = launch(machine);
@@ -23,25 +24,25 @@
   }
 
   /**
-   * Heartbeats, epochs and responses to commands of a machine, and whether it still gets tasks or
-   * is returned.
+   * Parameters: what the machine's heartbeats, epochs and command responses show, whether the
+   * machine still gets tasks, and whether it is returned.
    */
   @ParameterizedTest
   @CsvSource({
-    "epoch rises although its lease was renewed, false, true",
+    "epoch rises although the lease was renewed, false, true",
     "epoch rises after a silence, true, false",
-    "launch is never seen, false, true",
-    "launch is seen, true, false",
-    "epoch rises and a status is received, true, false"
+    "launch is never reported, false, true",
+    "launch is reported, true, false",
+    "epoch rises and a command response is received, true, false"
   })
   void unresponsiveMachineIsNotSchedulableAndIsReturned(
-      String what, boolean usable, boolean returned) {
+      String scenario, boolean schedulable, boolean returned) {
     Machine machine = up("host-1");
     job(101);
     long epoch = 1;
-    if (what.startsWith("launch")) {
+    if (scenario.startsWith("launch")) {
       CommandBatch batch = launchWithUnknownDelivery(machine);
-      if (what.endsWith("is seen")) {
+      if (scenario.endsWith("is reported")) {
         cluster.heartbeatReceived(
             heartbeat(
                 "host-1",
@@ -57,16 +58,16 @@
       }
     } else {
       epoch = 2;
-      loop.pass(what.contains("silence") ? TestData.LEASE_S + 1 : 3);
+      loop.pass(scenario.contains("silence") ? TestData.LEASE_S + 1 : 3);
     }
     for (int i = 0; i < 9; i++) {
-      if (machine.taskCount() == 0 || !what.equals("launch is seen")) {
+      if (machine.taskCount() == 0 || !scenario.equals("launch is reported")) {
         cluster.heartbeatReceived(heartbeat("host-1", epoch, ++sequence, TERM));
       } else {
         machine.health().restartSilenceTimer(loop.now());
       }
       cluster.unresponsiveMachines().detect();
-      if (what.endsWith("is received")) {
+      if (scenario.endsWith("is received")) {
         cluster.batchCompleted(
             new CommandBatch(machine, 2, List.of(), List.of()),
             DeliveryOutcome.EXECUTED,
@@ -74,18 +75,18 @@
       }
       loop.pass(3);
     }
-    assertEquals(usable, machine.isSchedulable(loop.now()));
+    assertEquals(schedulable, machine.isSchedulable(loop.now()));
     assertEquals(returned, cluster.unresponsiveMachines().isUnusable(machine));
   }
 
   /**
-   * Nothing was received for a while because this controller paused: hundreds of machines must not
-   * count as silent or unresponsive for it.
+   * This controller received nothing for a while because it paused. When it has detected the pause,
+   * it must not treat hundreds of machines as silent or unresponsive because of it.
    */
   @ParameterizedTest
   @CsvSource({"true, true", "false, false"})
   void controllerPauseDoesNotMakeMachinesSilentOrUnresponsive(
-      boolean pauseDetected, boolean usable) {
+      boolean pauseDetected, boolean schedulable) {
     job(101);
     Machine machine = up("host-1");
     Machine other = up("host-2");
@@ -96,22 +97,25 @@
       cluster.onProcessPause();
     }
     cluster.registry().cordonSilentMachines();
-    assertEquals(usable, machine.isSchedulable(loop.now()));
-    assertEquals(usable, cluster.registry().takeCordonedMachines().isEmpty());
+    assertEquals(schedulable, machine.isSchedulable(loop.now()));
+    assertEquals(schedulable, cluster.registry().takeCordonedMachines().isEmpty());
     other.health().restartSilenceTimer(loop.now());
     cluster.unresponsiveMachines().detect();
     assertEquals(
-        !usable,
+        !schedulable,
         other.health().isUnresponsive(),
-        "it had no chance to show that it received the launch");
+        "during the pause the machine could not show that it had received the launch");
     loop.pass(TestData.LEASE_S - 9);
     cluster.expireLeases();
-    assertEquals(0, other.taskCount(), "its lease counts from its last renewal");
+    assertEquals(
+        0,
+        other.taskCount(),
+        "the lease must be counted from its last renewal, whether or not the controller paused");
   }
 
   /**
-   * It never shows the new term's token; older jobs wait for it only until the cloud has taken it
-   * back.
+   * A machine never shows the new term's fencing token. Jobs from earlier terms wait for it only
+   * until the cloud has taken it back.
    */
   @Test
   void olderJobWaitsForMachineThatNeverReconcilesUntilItIsRemoved() {
@@ -123,16 +127,15 @@
       loop.pass(3);
     }
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM - 1));
-    assertFalse(
-        placeable(), "a launch of an earlier leader, which knew this epoch, may still arrive");
+    assertFalse(placeable(), "a launch by an earlier leader that knew this epoch may still arrive");
     assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
     cluster.machineRemoved(machine("host-1"), "returned");
     assertTrue(placeable());
   }
 
   /**
-   * In the term that launched it, the next epoch of an unresponsive machine is proof that the task
-   * is not there.
+   * Within the term that launched a task, the next epoch of the unresponsive machine proves that
+   * the task is not there.
    */
   @Test
   void newEpochOfUnresponsiveMachineLetsItsLaunchedTasksBePlacedAgain() {
@@ -140,16 +143,16 @@
     job(101);
     launchWithUnknownDelivery(machine);
     cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
-    assertFalse(placeable(), "the launch may yet arrive");
+    assertFalse(placeable(), "the launch may still arrive");
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM));
     assertTrue(placeable());
-    assertFalse(machine.isSchedulable(loop.now()), "but not there");
+    assertFalse(machine.isSchedulable(loop.now()), "the machine itself remains unresponsive");
   }
 
-  /** When most machines seem unresponsive, it is this controller that cannot be heard. */
+  /** When most machines seem unresponsive, the fault is that this controller cannot reach them. */
   @Test
   void noMachineIsUnusableWhenManySeemUnresponsive() {
-    List<Machine> all = new java.util.ArrayList<>();
+    List<Machine> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       all.add(up("host-" + i));
     }
