--- a/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
+++ b/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
@@ -64,7 +64,7 @@
   }
 
   private void scale() {
-    if (!term.isLoaded()) {
+    if (!term.hasLoadedRecords()) {
       return;
     }
     scaleIn.returnUnneeded();
@@ -86,7 +86,7 @@
    */
   private boolean mayRent() {
     return term.isActive()
-        && term.isLoaded()
+        && term.hasLoadedRecords()
         && machineList.isComplete()
         && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.cloudListLagS());
   }
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -240,7 +240,7 @@
   }
 
   @Override
-  public void onDeposed(String why) {
+  public void onSteppedDown(String why) {
     state.setLeading(false);
     if (leader != null) {
       leader.end();
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -112,7 +112,7 @@
 
   /** This controller leads no more. */
   void end() {
-    term.end();
+    term.markEnded();
     quotaMetrics.clear();
   }
 
@@ -156,7 +156,7 @@
 
   /** Does everything that may have become due by a change of the cluster. */
   private void runDueWork() {
-    if (!term.isActive() || !term.isLoaded()) {
+    if (!term.isActive() || !term.hasLoadedRecords()) {
       return;
     }
     failover.saveDueRecords();
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -77,7 +77,7 @@
           }
           try {
             runCycle(true);
-            if (term.isActive() && term.isLoaded()) {
+            if (term.isActive() && term.hasLoadedRecords()) {
               LOG.info("Cluster state: term={} {}", term.number(), cluster.view().summary());
             }
           } finally {
@@ -106,7 +106,7 @@
    */
   private void runCycle(boolean evict) {
     term.detectPause();
-    if (!term.isActive() || !term.isLoaded() || cluster.machineTypes().isEmpty()) {
+    if (!term.isActive() || !term.hasLoadedRecords() || cluster.machineTypes().isEmpty()) {
       return;
     }
     double startedAt = loop.now();
--- a/src/main/java/org/saffronshore/failover/CancellationTracker.java
+++ b/src/main/java/org/saffronshore/failover/CancellationTracker.java
@@ -51,7 +51,7 @@
 
   /** See {@link Failover#peerReportedCancellations}. */
   void peerReported(String peer, double requestedAt, double completeSince, List<String> jobs) {
-    if (!term.isLoaded()) {
+    if (!term.hasLoadedRecords()) {
       return;
     }
     jobs.forEach(this::jobCancelled);
@@ -61,7 +61,7 @@
 
   /** See {@link Failover#jobCancelled}. */
   void jobCancelled(String job) {
-    if (!term.isLoaded()) {
+    if (!term.hasLoadedRecords()) {
       return;
     }
     cluster.jobEnded(job, false, loop.wallClockMs());
--- a/src/main/java/org/saffronshore/failover/Failover.java
+++ b/src/main/java/org/saffronshore/failover/Failover.java
@@ -85,7 +85,7 @@
 
   /** Writes which tasks have finished; to be called periodically. */
   public void saveFinishedTasks() {
-    if (term.isLoaded()) {
+    if (term.hasLoadedRecords()) {
       finishedTasks.save();
     }
   }
--- a/src/main/java/org/saffronshore/failover/TermRecovery.java
+++ b/src/main/java/org/saffronshore/failover/TermRecovery.java
@@ -100,7 +100,7 @@
     stores.machineRegistry.load(listing(listings, Keys.MACHINE_REGISTRY));
     stores.launchWatermarks.retainOpenJobs();
     stores.finishedTasks.retainOpenJobs();
-    term.markLoaded();
+    term.markRecordsLoaded();
     cancellations.recordRead(requestedAt);
     logRecovered(listings, requestedAt);
     stores.openJobs.watch(openJobs.revision());
--- a/src/main/java/org/saffronshore/leadership/Election.java
+++ b/src/main/java/org/saffronshore/leadership/Election.java
@@ -21,7 +21,7 @@
    * service. Where most peers cannot be reached, a leader that is cut off could not be replaced
    * otherwise.
    */
-  private static final int UNANSWERED_CAMPAIGNS = 2;
+  private static final int MAX_UNANSWERED_CAMPAIGNS = 2;
 
   private final ControllerProcess self;
   private final Quorum quorum;
@@ -30,13 +30,13 @@
   private final PeerVoting peerVoting;
   private final StateServiceVoting stateServiceVoting;
   private final LeaderKeyClaim leaderKeyClaim;
-  private final Consumer<CampaignOutcome> onOutcome;
+  private final Consumer<CampaignOutcome> onCampaignEnded;
 
   /** Campaigns that a quorum left unanswered, since the last one that reached the claim. */
   private int unansweredCampaigns;
 
   /**
-   * @param onOutcome is called once for each campaign
+   * @param onCampaignEnded is called once for each campaign
    */
   Election(
       ControllerProcess self,
@@ -54,67 +54,67 @@
     this.peerVoting = peerVoting;
     this.stateServiceVoting = stateServiceVoting;
     this.leaderKeyClaim = leaderKeyClaim;
-    this.onOutcome = onOutcome;
+    this.onCampaignEnded = onOutcome;
   }
 
   /** Campaigns for the term after the last one. The leader's key was missing a moment ago. */
-  void campaign() {
+  void startCampaign() {
     state.get(
         Keys.TERM,
         RequestPriority.VITAL,
         key -> {
           if (key.isUnknown()) {
-            lose(CampaignOutcome.Reason.TERM_UNREADABLE);
+            endAsLost(CampaignOutcome.Reason.TERM_UNREADABLE);
           } else {
-            requestVotes(LastTerm.of(key));
+            requestVotes(LastTerm.fromTermKey(key));
           }
         });
   }
 
   private void requestVotes(LastTerm lastTerm) {
-    long term = lastTerm.next();
+    long term = lastTerm.nextNumber();
     // Its own lease first: two candidates that grant theirs to each other, or split the votes,
     // would both fail.
-    boolean ownGranted = leaseGrants.grant(self, term);
+    boolean ownGranted = leaseGrants.tryGrant(self, term);
     if (!ownGranted && leaseGrants.isGrantedToOther(self, term)) {
-      if (unansweredCampaigns >= UNANSWERED_CAMPAIGNS) {
+      if (unansweredCampaigns >= MAX_UNANSWERED_CAMPAIGNS) {
         requestVotesThroughStateService(lastTerm);
       } else {
-        lose(CampaignOutcome.Reason.NO_QUORUM);
+        endAsLost(CampaignOutcome.Reason.NO_QUORUM);
       }
       return;
     }
     int ownVotes = ownGranted ? 1 : 0;
     peerVoting.requestVotes(
         term,
-        votes -> lastLeaderEnded(lastTerm, votes) || isDecided(votes, ownVotes),
-        votes -> onVotes(lastTerm, votes, ownVotes));
+        votes -> hasLastLeaderProcessEnded(lastTerm, votes) || isVoteDecided(votes, ownVotes),
+        votes -> onVotesReceived(lastTerm, votes, ownVotes));
   }
 
-  private void onVotes(LastTerm lastTerm, List<PeerVoting.Vote> votes, int ownVotes) {
+  private void onVotesReceived(LastTerm lastTerm, List<PeerVoting.Vote> votes, int ownVotes) {
     long granted = countGranted(votes) + ownVotes;
     boolean firstTerm = lastTerm.number() == 0;
-    if (quorum.isMet(granted) || firstTerm || lastLeaderEnded(lastTerm, votes)) {
-      claim(lastTerm);
+    if (quorum.isMet(granted) || firstTerm || hasLastLeaderProcessEnded(lastTerm, votes)) {
+      claimNextTerm(lastTerm);
       return;
     }
-    long term = lastTerm.next();
+    long term = lastTerm.nextNumber();
     LOG.debug(
         "No quorum: node={} term={} granted={} responses={}",
         self.node(),
         term,
         granted,
         votes.size());
-    leaseGrants.withdraw(self, term);
-    peerVoting.withdraw(term);
+    leaseGrants.releaseIfHeldBy(self, term);
+    peerVoting.sendWithdrawal(term);
     boolean answeredByQuorum = quorum.isMet(votes.size() + 1L);
     if (!answeredByQuorum) {
       unansweredCampaigns++;
     }
-    if (!answeredByQuorum && unansweredCampaigns >= UNANSWERED_CAMPAIGNS) {
+    if (!answeredByQuorum && unansweredCampaigns >= MAX_UNANSWERED_CAMPAIGNS) {
       requestVotesThroughStateService(lastTerm);
     } else {
-      lose(CampaignOutcome.Reason.NO_QUORUM);
+      endAsLost(CampaignOutcome.Reason.NO_QUORUM);
     }
   }
 
@@ -122,7 +122,7 @@
    * Whether the missing votes cannot change the outcome. Waiting for them would only keep the
    * leases of those that have voted from other candidates.
    */
-  private boolean isDecided(List<PeerVoting.Vote> votes, int ownVotes) {
+  private boolean isVoteDecided(List<PeerVoting.Vote> votes, int ownVotes) {
     long granted = countGranted(votes) + ownVotes;
     long missing = quorum.controllers() - 1L - votes.size();
     return quorum.isMet(granted) || !quorum.isMet(granted + missing);
@@ -132,7 +132,7 @@
    * Whether the process that led last has ended: another incarnation of its controller has just
    * voted, or is this one.
    */
-  private boolean lastLeaderEnded(LastTerm lastTerm, List<PeerVoting.Vote> votes) {
+  private boolean hasLastLeaderProcessEnded(LastTerm lastTerm, List<PeerVoting.Vote> votes) {
     return self.node().equals(lastTerm.node())
         || votes.stream()
             .anyMatch(
@@ -147,28 +147,28 @@
 
   private void requestVotesThroughStateService(LastTerm lastTerm) {
     stateServiceVoting.requestVotes(
-        lastTerm.next(),
+        lastTerm.nextNumber(),
         voters -> quorum.isMet(voters.size() + 1L),
         voters -> {
-          if (isElected(lastTerm.next(), voters.size())) {
-            claim(lastTerm);
+          if (isElected(lastTerm.nextNumber(), voters.size())) {
+            claimNextTerm(lastTerm);
           } else {
-            lose(CampaignOutcome.Reason.NO_QUORUM);
+            endAsLost(CampaignOutcome.Reason.NO_QUORUM);
           }
         });
   }
 
   /** Whether the votes of others make a quorum, if need be with the lease of this controller. */
   private boolean isElected(long term, long granted) {
-    return quorum.isMet(granted) || (quorum.isMet(granted + 1) && leaseGrants.grant(self, term));
+    return quorum.isMet(granted) || (quorum.isMet(granted + 1) && leaseGrants.tryGrant(self, term));
   }
 
-  private void claim(LastTerm lastTerm) {
+  private void claimNextTerm(LastTerm lastTerm) {
     unansweredCampaigns = 0;
-    leaderKeyClaim.claim(lastTerm, onOutcome);
+    leaderKeyClaim.claimNextTerm(lastTerm, onCampaignEnded);
   }
 
-  private void lose(CampaignOutcome.Reason reason) {
-    onOutcome.accept(new CampaignOutcome.Lost(reason));
+  private void endAsLost(CampaignOutcome.Reason reason) {
+    onCampaignEnded.accept(new CampaignOutcome.Lost(reason));
   }
 }
--- a/src/main/java/org/saffronshore/leadership/LastTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LastTerm.java
@@ -16,7 +16,7 @@
   private static final LastTerm NONE = new LastTerm(0, null, null, 0);
 
   /** Reads the term's key, which is found or missing. */
-  static LastTerm of(GetResult key) {
+  static LastTerm fromTermKey(GetResult key) {
     if (key.isMissing()) {
       return NONE;
     }
@@ -25,7 +25,7 @@
         Math.max(0, leader.term()), leader.controller(), leader.incarnation(), key.version());
   }
 
-  long next() {
+  long nextNumber() {
     return number + 1;
   }
 }
--- a/src/main/java/org/saffronshore/leadership/LeaderKeyClaim.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderKeyClaim.java
@@ -26,7 +26,7 @@
   }
 
   /** Claims the term after the last one. */
-  void claim(LastTerm lastTerm, Consumer<CampaignOutcome> onOutcome) {
+  void claimNextTerm(LastTerm lastTerm, Consumer<CampaignOutcome> onOutcome) {
     double requestedAt = loop.now();
     state.grantLease(
         leaseDurationS,
@@ -41,7 +41,7 @@
 
   private void setLeaderKey(
       LastTerm lastTerm, long leaseId, double requestedAt, Consumer<CampaignOutcome> onOutcome) {
-    long term = lastTerm.next();
+    long term = lastTerm.nextNumber();
     LeaderRecord leader = new LeaderRecord(self.node(), self.incarnation(), term);
     Transaction transaction =
         new Transaction()
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -19,16 +19,16 @@
   /** A gap between two checks that is longer than this means that the process was paused. */
   private final double pauseThresholdS;
 
-  private final Runnable onPause;
+  private final Runnable onPauseDetected;
   private boolean ended;
-  private boolean loaded;
-  private double lastCheckedAt;
+  private boolean recordsLoaded;
+  private double lastPauseCheckAt;
 
   /**
    * Starts a term.
    *
    * @param number the term's number, which is its fencing token
-   * @param onPause is called when the process has been paused while its clock ran on
+   * @param onPauseDetected is called when the process has been paused while its clock ran on
    */
   public LeaderTerm(
       EventLoop loop, Settings settings, Leadership leadership, long number, Runnable onPause) {
@@ -36,8 +36,8 @@
     this.leadership = leadership;
     this.number = number;
     this.pauseThresholdS = settings.heartbeatIntervalS() / 3;
-    this.onPause = onPause;
-    this.lastCheckedAt = loop.now();
+    this.onPauseDetected = onPause;
+    this.lastPauseCheckAt = loop.now();
   }
 
   public long number() {
@@ -65,12 +65,12 @@
   }
 
   /** Whether the records of earlier terms have been read from the state service. */
-  public boolean isLoaded() {
-    return loaded;
+  public boolean hasLoadedRecords() {
+    return recordsLoaded;
   }
 
-  public void markLoaded() {
-    loaded = true;
+  public void markRecordsLoaded() {
+    recordsLoaded = true;
   }
 
   public boolean hasEnded() {
@@ -78,7 +78,7 @@
   }
 
   /** This controller leads no more; called by the owner of the term. */
-  public void end() {
+  public void markEnded() {
     ended = true;
   }
 
@@ -118,14 +118,14 @@
    */
   public void detectPause() {
     double now = loop.now();
-    if (now - lastCheckedAt > pauseThresholdS) {
+    if (now - lastPauseCheckAt > pauseThresholdS) {
       LOG.info(
           "Process was paused: term={} duration_s={}",
           number,
-          Math.round(10 * (now - lastCheckedAt)) / 10.0);
-      onPause.run();
+          Math.round(10 * (now - lastPauseCheckAt)) / 10.0);
+      onPauseDetected.run();
     }
-    lastCheckedAt = now;
+    lastPauseCheckAt = now;
   }
 
   /**
--- a/src/main/java/org/saffronshore/leadership/LeaderWatch.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderWatch.java
@@ -27,7 +27,7 @@
   private final RetryDelays delays;
 
   /** How long the state service may hold a watch request without an event, in seconds. */
-  private final double watchHoldS;
+  private final double maxWatchDurationS;
 
   private final Runnable onKeyMissing;
   private @Nullable String leaderNode;
@@ -38,7 +38,8 @@
   private long watchRevision;
 
   /**
-   * @param onKeyMissing is called once for each {@link #follow}, when the leader's key is missing
+   * @param onKeyMissing is called once for each {@link #followLeaderKey}, when the leader's key is
+   *     missing
    */
   LeaderWatch(
       EventLoop loop,
@@ -51,7 +52,7 @@
     this.state = state;
     this.self = self;
     this.delays = delays;
-    this.watchHoldS = watchHoldS;
+    this.maxWatchDurationS = watchHoldS;
     this.onKeyMissing = onKeyMissing;
   }
 
@@ -66,13 +67,13 @@
   }
 
   /** Forgets who leads, until the key is read again. */
-  void clear() {
+  void forgetLeader() {
     leaderNode = null;
     leaderTerm = NO_TERM;
   }
 
   /** Reads the leader's key, and watches it until it is missing. */
-  void follow() {
+  void followLeaderKey() {
     state.get(
         Keys.LEADER,
         RequestPriority.VITAL,
@@ -80,17 +81,17 @@
           if (key.isFound()) {
             onLeaderFound(key);
           } else if (key.isMissing()) {
-            clear();
+            forgetLeader();
             onKeyMissing.run();
           } else {
             leaderNode = null;
-            followAfter(delays.next());
+            followLeaderKeyAfter(delays.nextRetryS());
           }
         });
   }
 
-  private void followAfter(double seconds) {
-    loop.schedule(seconds, this::follow);
+  private void followLeaderKeyAfter(double seconds) {
+    loop.schedule(seconds, this::followLeaderKey);
   }
 
   private void onLeaderFound(GetResult key) {
@@ -105,18 +106,18 @@
           self.node(),
           leaderTerm,
           key.leaseId());
-      state.revokeLease(key.leaseId(), () -> followAfter(delays.afterRevocation()));
+      state.revokeLease(key.leaseId(), () -> followLeaderKeyAfter(delays.afterRevocationS()));
       return;
     }
     watchRevision = key.version();
-    watch();
+    watchLeaderKey();
   }
 
-  private void watch() {
+  private void watchLeaderKey() {
     state.watch(
         Keys.LEADER,
         watchRevision,
-        watchHoldS,
+        maxWatchDurationS,
         changes -> {
           if (!changes.isReceived()) {
             // The known leader may be an old one. While none is named, workers that were refused
@@ -124,13 +125,13 @@
             if (changes.outcome() != WatchResult.Outcome.COMPACTED) {
               leaderNode = null;
             }
-            followAfter(delays.next());
+            followLeaderKeyAfter(delays.nextRetryS());
           } else if (changes.events().isEmpty()) {
             watchRevision = changes.revision();
-            watch();
+            watchLeaderKey();
           } else {
-            clear();
-            followAfter(delays.afterKeyChange());
+            forgetLeader();
+            followLeaderKeyAfter(delays.afterKeyChangeS());
           }
         });
   }
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -47,7 +47,7 @@
     void onElected(long term, long keyVersion);
 
     /** This controller has ceased to lead. */
-    void onDeposed(String reason);
+    void onSteppedDown(String reason);
   }
 
   /**
@@ -124,14 +124,14 @@
             state,
             leaseGrants,
             peerVoting,
-            new StateServiceVoting(loop, state, self, leaseDurationS / 2, leaseGrants::grant),
+            new StateServiceVoting(loop, state, self, leaseDurationS / 2, leaseGrants::tryGrant),
             new LeaderKeyClaim(loop, state, self, leaseDurationS),
             this::onCampaignEnded);
   }
 
   /** Begins to follow the leader's key, and to campaign when it is missing. */
   public void start() {
-    leaderWatch.follow();
+    leaderWatch.followLeaderKey();
   }
 
   /** Whether no other controller may act, by the store lease or by the leases of a quorum. */
@@ -197,12 +197,12 @@
         return false;
       }
     }
-    return leaseGrants.grant(request.requester(), request.term());
+    return leaseGrants.tryGrant(request.requester(), request.term());
   }
 
   /** A peer has withdrawn from a term, so it will not act on the lease of this controller. */
   public void recordWithdrawal(ControllerProcess requester, long withdrawnTerm) {
-    leaseGrants.withdraw(requester, withdrawnTerm);
+    leaseGrants.releaseIfHeldBy(requester, withdrawnTerm);
   }
 
   /** Whether this controller was elected and has not stepped down, even if it may not act now. */
@@ -230,30 +230,30 @@
 
   private void onLeaderKeyMissing() {
     if (loop.now() < noCampaignUntil) {
-      followAfter(delays.next());
+      followLeaderKeyAfter(delays.nextRetryS());
       return;
     }
     role = Role.CANDIDATE;
-    election.campaign();
+    election.startCampaign();
   }
 
   private void onCampaignEnded(CampaignOutcome outcome) {
     if (outcome instanceof CampaignOutcome.Won won) {
-      lead(won);
+      becomeLeader(won);
     } else if (outcome instanceof CampaignOutcome.Lost lost) {
       LOG.debug("Campaign lost: node={} reason={}", self.node(), lost.reason());
       role = Role.FOLLOWER;
-      followAfter(delays.next());
+      followLeaderKeyAfter(delays.nextRetryS());
     }
   }
 
-  private void lead(CampaignOutcome.Won won) {
+  private void becomeLeader(CampaignOutcome.Won won) {
     role = Role.LEADER;
     term = won.term();
     leaderKeyVersion = won.leaderKeyVersion();
-    storeLease.start(won.leaseId(), won.leaseRequestedAt());
+    storeLease.startRenewing(won.leaseId(), won.leaseRequestedAt());
     renewalsAllowedUntil = Double.NEGATIVE_INFINITY;
-    quorumLease.clear();
+    quorumLease.clearGrants();
     LOG.info(
         "Elected leader: node={} term={} lease={} leader_key_revision={}",
         self.node(),
@@ -279,14 +279,14 @@
     }
     LOG.info("Stepping down: node={} term={} reason={}", self.node(), term, reason);
     role = Role.FOLLOWER;
-    quorumLease.clear();
-    leaderWatch.clear();
-    listener.onDeposed(reason);
-    peerVoting.withdraw(term);
-    storeLease.revoke(() -> followAfter(leaseDurationS / 2));
+    quorumLease.clearGrants();
+    leaderWatch.forgetLeader();
+    listener.onSteppedDown(reason);
+    peerVoting.sendWithdrawal(term);
+    storeLease.revoke(() -> followLeaderKeyAfter(leaseDurationS / 2));
   }
 
-  private void followAfter(double seconds) {
-    loop.schedule(seconds, leaderWatch::follow);
+  private void followLeaderKeyAfter(double seconds) {
+    loop.schedule(seconds, leaderWatch::followLeaderKey);
   }
 }
--- a/src/main/java/org/saffronshore/leadership/LeaseGrants.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseGrants.java
@@ -33,7 +33,7 @@
    *
    * @return false while another process may still hold it, or when the term is over
    */
-  boolean grant(ControllerProcess requester, long term) {
+  boolean tryGrant(ControllerProcess requester, long term) {
     double now = loop.now();
     // Several candidates may hold the lease for one term, one after another. The condition on the
     // version of the term's key lets only one of them lead it.
@@ -54,7 +54,7 @@
   }
 
   /** Ends the lease: its holder has withdrawn, and will not act on it any more. */
-  void withdraw(ControllerProcess requester, long term) {
+  void releaseIfHeldBy(ControllerProcess requester, long term) {
     if (term == holderTerm && requester.equals(holder)) {
       grantedUntil = Double.NEGATIVE_INFINITY;
     }
--- a/src/main/java/org/saffronshore/leadership/PeerVoting.java
+++ b/src/main/java/org/saffronshore/leadership/PeerVoting.java
@@ -26,5 +26,5 @@
   void requestVotes(long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotes);
 
   /** Tells the peers that this candidate or leader has withdrawn, which ends their leases. */
-  void withdraw(long term);
+  void sendWithdrawal(long term);
 }
--- a/src/main/java/org/saffronshore/leadership/QuorumLease.java
+++ b/src/main/java/org/saffronshore/leadership/QuorumLease.java
@@ -14,7 +14,7 @@
   private final Quorum quorum;
 
   /** When the latest request was sent that each peer granted. */
-  private final Map<String, Double> grantedFrom = new HashMap<>();
+  private final Map<String, Double> latestGrantedRequestAt = new HashMap<>();
 
   QuorumLease(double leaseDurationS, Quorum quorum) {
     this.leaseDurationS = leaseDurationS;
@@ -23,11 +23,11 @@
 
   /** A peer has granted its lease in response to a request that was sent at that moment. */
   void recordGrant(String peer, double requestedAt) {
-    grantedFrom.merge(peer, requestedAt, Math::max);
+    latestGrantedRequestAt.merge(peer, requestedAt, Math::max);
   }
 
-  void clear() {
-    grantedFrom.clear();
+  void clearGrants() {
+    latestGrantedRequestAt.clear();
   }
 
   /** Until when the leases of a quorum last; this controller counts as one of them. */
@@ -37,7 +37,10 @@
       return Double.POSITIVE_INFINITY;
     }
     double[] starts =
-        grantedFrom.values().stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        latestGrantedRequestAt.values().stream()
+            .mapToDouble(Double::doubleValue)
+            .sorted()
+            .toArray();
     return starts.length < peersNeeded
         ? Double.NEGATIVE_INFINITY
         : starts[starts.length - peersNeeded] + Settings.minLocalDuration(leaseDurationS);
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -31,14 +31,14 @@
   /** Grants the lease of this controller. */
   @FunctionalInterface
   interface Granter {
-    boolean grant(ControllerProcess candidate, long term);
+    boolean tryGrant(ControllerProcess candidate, long term);
   }
 
   private final EventLoop loop;
   private final StateClient state;
   private final ControllerProcess self;
   private final double roundDurationS;
-  private final Granter granter;
+  private final Granter leaseGrantor;
   private long requestCount;
   private @Nullable VoteRequest lastOtherRequest;
   private int unchangedReads;
@@ -53,7 +53,7 @@
     this.state = state;
     this.self = self;
     this.roundDurationS = roundDurationS;
-    this.granter = granter;
+    this.leaseGrantor = granter;
   }
 
   /**
@@ -74,7 +74,7 @@
           }
           VoteRequest other = key.isFound() ? VoteRequest.parse(key.value()) : null;
           if (other != null && hasPrecedence(other, term)) {
-            vote(other, key.version(), () -> onVoters.accept(Set.of()));
+            voteFor(other, key.version(), () -> onVoters.accept(Set.of()));
           } else {
             writeRequest(term, key.version(), isQuorum, onVoters);
           }
@@ -93,10 +93,10 @@
     return unchangedReads <= MAX_UNCHANGED_READS;
   }
 
-  private void vote(VoteRequest other, long requestVersion, Runnable onWritten) {
+  private void voteFor(VoteRequest other, long requestVersion, Runnable onWritten) {
     if (other.candidate() == null
         || other.incarnation() == null
-        || !granter.grant(
+        || !leaseGrantor.tryGrant(
             new ControllerProcess(other.candidate(), other.incarnation()), other.term())) {
       onWritten.run();
       return;
@@ -124,14 +124,14 @@
         RequestPriority.VITAL,
         result -> {
           if (result.isCommitted()) {
-            scheduleRead(request, 1, isQuorum, onVoters);
+            scheduleVoteRead(request, 1, isQuorum, onVoters);
           } else {
             onVoters.accept(Set.of());
           }
         });
   }
 
-  private void scheduleRead(
+  private void scheduleVoteRead(
       VoteRequest request,
       int read,
       Predicate<Set<String>> isQuorum,
@@ -153,7 +153,7 @@
           if (isQuorum.test(voters) || read >= READS_PER_ROUND) {
             onVoters.accept(voters);
           } else {
-            scheduleRead(request, read + 1, isQuorum, onVoters);
+            scheduleVoteRead(request, read + 1, isQuorum, onVoters);
           }
         });
   }
--- a/src/main/java/org/saffronshore/leadership/StoreLease.java
+++ b/src/main/java/org/saffronshore/leadership/StoreLease.java
@@ -12,7 +12,7 @@
   private static final double RENEWALS_PER_LEASE = 4;
 
   /** The delay after a renewal that failed, as a share of the lease's duration. */
-  private static final double RETRY_SHARE = 1.0 / 20;
+  private static final double RETRY_DELAY_FACTOR = 1.0 / 20;
 
   private final EventLoop loop;
   private final StateClient state;
@@ -35,7 +35,7 @@
   }
 
   /** Renews a lease from now on that was requested at that moment. */
-  void start(long leaseId, double requestedAt) {
+  void startRenewing(long leaseId, double requestedAt) {
     id = leaseId;
     validUntil = requestedAt + Settings.minLocalDuration(durationS);
     generation++;
@@ -90,7 +90,7 @@
               // The retry is worth it even when the lease is not valid any more: after an outage
               // the state service gives every lease its full duration again.
               LOG.debug("Lease renewal failed: lease={} valid={}", id, isValid());
-              scheduleRenewal(durationS * RETRY_SHARE, renewedGeneration);
+              scheduleRenewal(durationS * RETRY_DELAY_FACTOR, renewedGeneration);
             }
           }
         });
--- a/src/main/java/org/saffronshore/peer/PeerVotingClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerVotingClient.java
@@ -62,7 +62,7 @@
   }
 
   @Override
-  public void withdraw(long term) {
+  public void sendWithdrawal(long term) {
     byte[] body = messages.forCandidate(term).toCbor();
     for (Peer peer : peers.peers()) {
       peers.post(peer, PeerProtocol.WITHDRAWAL_PATH, body, withdrawalTimeoutS, response -> {});
--- a/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
@@ -20,11 +20,11 @@
   /** A restarted controller does not know what it granted before. */
   @Test
   void nothingIsGrantedUntilLeasesOfAnEarlierIncarnationAreOver() {
-    assertFalse(leaseGrants.grant(HOLDER, 5));
+    assertFalse(leaseGrants.tryGrant(HOLDER, 5));
     loop.pass(LEASE_DURATION_S);
-    assertFalse(leaseGrants.grant(HOLDER, 5), "the clock of the holder may run slow");
+    assertFalse(leaseGrants.tryGrant(HOLDER, 5), "the clock of the holder may run slow");
     loop.pass(0.1);
-    assertTrue(leaseGrants.grant(HOLDER, 5));
+    assertTrue(leaseGrants.tryGrant(HOLDER, 5));
   }
 
   /** The lease was granted to incarnation x of n-1 for term 5, some seconds before this request. */
@@ -42,19 +42,19 @@
   void leaseIsGrantedToOneProcessAtATimeAndNeverForAnEarlierTerm(
       double secondsLater, String node, String incarnation, long term, boolean granted) {
     loop.pass(LEASE_DURATION_S * 2);
-    assertTrue(leaseGrants.grant(HOLDER, 5));
+    assertTrue(leaseGrants.tryGrant(HOLDER, 5));
     loop.pass(secondsLater);
-    assertEquals(granted, leaseGrants.grant(new ControllerProcess(node, incarnation), term));
+    assertEquals(granted, leaseGrants.tryGrant(new ControllerProcess(node, incarnation), term));
   }
 
   @Test
   void withdrawalOfTheHolderFreesTheLeaseAndOneOfAnotherDoesNot() {
     loop.pass(LEASE_DURATION_S * 2);
-    leaseGrants.grant(HOLDER, 5);
-    leaseGrants.withdraw(OTHER, 5);
-    assertFalse(leaseGrants.grant(OTHER, 6));
-    leaseGrants.withdraw(HOLDER, 5);
-    assertTrue(leaseGrants.grant(OTHER, 6));
+    leaseGrants.tryGrant(HOLDER, 5);
+    leaseGrants.releaseIfHeldBy(OTHER, 5);
+    assertFalse(leaseGrants.tryGrant(OTHER, 6));
+    leaseGrants.releaseIfHeldBy(HOLDER, 5);
+    assertTrue(leaseGrants.tryGrant(OTHER, 6));
   }
 
   @Test
--- a/src/test/java/org/saffronshore/leadership/SimulatedController.java
+++ b/src/test/java/org/saffronshore/leadership/SimulatedController.java
@@ -239,7 +239,7 @@
   }
 
   @Override
-  public void withdraw(long term) {
+  public void sendWithdrawal(long term) {
     lastMessage++;
     reachablePeers().forEach(peer -> peer.leadership.recordWithdrawal(process(), term));
   }
@@ -252,7 +252,7 @@
   }
 
   @Override
-  public void onDeposed(String reason) {
+  public void onSteppedDown(String reason) {
     assertFalse(reason.isEmpty());
   }
 }
