--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -30,7 +30,7 @@
 
   /** Grants the lease of this controller. */
   @FunctionalInterface
-  interface Granter {
+  interface LeaseGrantor {
     boolean tryGrant(ControllerProcess candidate, long term);
   }
 
@@ -38,7 +38,7 @@
   private final StateClient state;
   private final ControllerProcess self;
   private final double roundDurationS;
-  private final Granter leaseGrantor;
+  private final LeaseGrantor leaseGrantor;
   private long requestCount;
   private @Nullable VoteRequest lastOtherRequest;
   private int unchangedReads;
@@ -48,7 +48,7 @@
       StateClient state,
       ControllerProcess self,
       double roundDurationS,
-      Granter granter) {
+      LeaseGrantor granter) {
     this.loop = loop;
     this.state = state;
     this.self = self;
--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -19,7 +19,7 @@
 /** Elections among simulated controllers: one leads, and two are never active at once. */
 class LeadershipTest extends LeadershipTestBase {
   @Test
-  void oneOfThreeControllersLeadsAndAllOfThemKnowIt() {
+  void oneOfThreeControllersLeadsAndAllReportItAsLeader() {
     startThreeControllers();
     assertEquals(1, activeLeaderCount());
     Optional<String> leader = Optional.of(activeLeader().node);
@@ -30,13 +30,13 @@
 
   /** The leader stops acting before the next one begins, whether its peers are reachable or not. */
   @Test
-  void twoLeadersAreNeverActiveWhenTheStateServiceRefusesTheLeaderAlone() {
+  void atMostOneLeaderIsActiveWhenOnlyTheLeaderLosesTheStateService() {
     startThreeControllers();
     for (int round = 0; round < 8; round++) {
       SimulatedController leader = activeLeader();
       leader.cutFromStateService = true;
       leader.cutFromPeers = round % 2 == 0;
-      passCheckingLeaders(500, LEASE_DURATION_S / 100);
+      passCheckingSingleLeader(500, LEASE_DURATION_S / 100);
       assertFalse(leader.leadership.isActive());
       assertEquals(
           1,
@@ -58,7 +58,7 @@
    * quorum. After the outage it continues in the same term.
    */
   @Test
-  void leaderStaysActiveInAnOutageOnTheLeasesOfAQuorum() {
+  void leaderStaysActiveInAnOutageWhileAQuorumGrantsLeases() {
     startThreeControllers();
     SimulatedController leader = activeLeader();
     leader.leadership.allowRenewalsUntil(loop.now() + LEASE_DURATION_S * 10);
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void leaderStopsInAnOutageWithoutAQuorumOrBeyondItsRenewalBound() {
+  void leaderIsInactiveInAnOutageAfterItsRenewalDeadline() {
     startThreeControllers();
     SimulatedController leader = activeLeader();
     leader.leadership.allowRenewalsUntil(loop.now() + LEASE_DURATION_S * 3);
@@ -110,7 +110,7 @@
       SimulatedController leader = activeLeader();
       controllers.forEach(controller -> controller.cutFromPeers = true);
       leader.cutFromStateService = true;
-      double withoutLeaderS = timeWithoutLeader(500, LEASE_DURATION_S / 100);
+      double withoutLeaderS = passMeasuringTimeWithoutLeader(500, LEASE_DURATION_S / 100);
       assertEquals(1, activeLeaderCount());
       assertTrue(
           activeLeader() != leader && withoutLeaderS < 2 * LEASE_DURATION_S,
@@ -123,7 +123,7 @@
 
   /** The lease of the claim was revoked after the timeout, and the key goes away with it. */
   @Test
-  void claimThatIsCommittedAfterItsTimeoutElectsNobody() {
+  void claimCommittedAfterItsTimeoutDoesNotElectTheCandidate() {
     service.held = (method, path) -> path.equals("/commit");
     SimulatedController candidate = startController("n-0", 1);
     while (!service.log.contains("DELETE /holds/1")) {
@@ -187,14 +187,14 @@
    */
   @ParameterizedTest
   @CsvSource({"5, 1", "5, 2", "7, 1", "7, 2", "7, 3", "7, 4", "9, 1"})
-  void leaderIsElectedSoonAmongManyCandidates(int nodes, int seed) {
+  void leaderIsElectedWithinHalfALeaseAmongManyCandidates(int nodes, int seed) {
     random.setSeed(seed);
     startControllers(nodes, seed * 100);
     for (int round = 0; round < 6; round++) {
       SimulatedController cutOff = activeLeader();
       cutOff.cutFromStateService = true;
       cutOff.cutFromPeers = true;
-      double withoutLeaderS = timeWithoutLeader(800, LEASE_DURATION_S / 200);
+      double withoutLeaderS = passMeasuringTimeWithoutLeader(800, LEASE_DURATION_S / 200);
       assertTrue(
           withoutLeaderS < LEASE_DURATION_S / 2,
           "no leader for " + withoutLeaderS + " s in round " + round);
@@ -215,7 +215,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4})
-  void twoLeadersAreNeverActiveWhenProcessesArePaused(int seed) {
+  void atMostOneLeaderIsActiveWhenProcessesArePaused(int seed) {
     random.setSeed(seed);
     startThreeControllers();
     for (int round = 0; round < 40; round++) {
@@ -228,7 +228,7 @@
       pause(
           pauseLeader ? leader : controllers.get(random.nextInt(3)),
           random.nextDouble() * 4 * LEASE_DURATION_S);
-      passCheckingLeaders(300, LEASE_DURATION_S / 100);
+      passCheckingSingleLeader(300, LEASE_DURATION_S / 100);
       loop.pass(LEASE_DURATION_S * 3);
       assertEquals(1, activeLeaderCount());
     }
@@ -240,7 +240,7 @@
    */
   @ParameterizedTest
   @CsvSource({"leader, 0.05", "leader, 0.3", "follower, 0.05", "all, 0.05", "all, 0.3"})
-  void immediateRestartLeavesNoLeaderForLessThanHalfALease(String restarted, double delayS) {
+  void leaderIsActiveWithinHalfALeaseAfterARestart(String restarted, double delayS) {
     startThreeControllers();
     SimulatedController leader = activeLeader();
     for (SimulatedController controller : List.copyOf(controllers)) {
@@ -248,7 +248,7 @@
         restart(controller, delayS);
       }
     }
-    double withoutLeaderS = timeWithoutLeader(400, LEASE_DURATION_S / 100);
+    double withoutLeaderS = passMeasuringTimeWithoutLeader(400, LEASE_DURATION_S / 100);
     assertEquals(1, activeLeaderCount());
     assertTrue(
         withoutLeaderS < delayS + LEASE_DURATION_S / 2, "no leader for " + withoutLeaderS + " s");
@@ -260,14 +260,14 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6})
-  void twoLeadersAreNeverActiveUnderRestartsCutsAndOutages(int seed) {
+  void atMostOneLeaderIsActiveUnderRestartsCutsAndOutages(int seed) {
     random.setSeed(seed);
     startThreeControllers();
     for (int round = 0; round < 60; round++) {
       if (!controllers.isEmpty()) {
         injectFault(controllers.get(random.nextInt(controllers.size())));
       }
-      passCheckingLeaders(random.nextInt(60), LEASE_DURATION_S / 100);
+      passCheckingSingleLeader(random.nextInt(60), LEASE_DURATION_S / 100);
     }
     service.away = (method, path) -> false;
     controllers.forEach(
@@ -275,7 +275,7 @@
           controller.cutFromStateService = false;
           controller.cutFromPeers = false;
         });
-    passCheckingLeaders(500, LEASE_DURATION_S / 100);
+    passCheckingSingleLeader(500, LEASE_DURATION_S / 100);
     assertEquals(1, activeLeaderCount());
   }
 
--- a/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
@@ -59,8 +59,8 @@
   }
 
   /** Passes time in steps, and checks after each that at most one leader is active. */
-  void passCheckingLeaders(int steps, double stepS) {
-    timeWithoutLeader(steps, stepS);
+  void passCheckingSingleLeader(int steps, double stepS) {
+    passMeasuringTimeWithoutLeader(steps, stepS);
   }
 
   /**
@@ -68,7 +68,7 @@
    *
    * @return for how many seconds none was active
    */
-  double timeWithoutLeader(int steps, double stepS) {
+  double passMeasuringTimeWithoutLeader(int steps, double stepS) {
     double withoutLeaderS = 0;
     for (int step = 0; step < steps; step++) {
       loop.pass(stepS);
--- a/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
@@ -19,7 +19,7 @@
 
   /** A restarted controller does not know what it granted before. */
   @Test
-  void nothingIsGrantedUntilLeasesOfAnEarlierIncarnationAreOver() {
+  void nothingIsGrantedUntilLeasesOfAnEarlierIncarnationHaveExpired() {
     assertFalse(leaseGrants.tryGrant(HOLDER, 5));
     loop.pass(LEASE_DURATION_S);
     assertFalse(leaseGrants.tryGrant(HOLDER, 5), "the clock of the holder may run slow");
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void withdrawalOfTheHolderFreesTheLeaseAndOneOfAnotherDoesNot() {
+  void onlyWithdrawalByTheHolderReleasesTheLease() {
     loop.pass(LEASE_DURATION_S * 2);
     leaseGrants.tryGrant(HOLDER, 5);
     leaseGrants.releaseIfHeldBy(OTHER, 5);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void quorumLeaseCountsFromWhenTheLatestGrantedRequestWasSent() {
+  void quorumLeaseRunsFromTheLatestGrantedRequest() {
     QuorumLease quorumLease = new QuorumLease(LEASE_DURATION_S, new Quorum(3));
     assertFalse(loop.now() < quorumLease.validUntil());
     double requestedAt = loop.now();
--- a/src/test/java/org/saffronshore/leadership/SimulatedController.java
+++ b/src/test/java/org/saffronshore/leadership/SimulatedController.java
@@ -46,7 +46,7 @@
   private final FakeStateService service;
   private final Random random;
   private final List<SimulatedController> controllers;
-  private long lastMessage;
+  private long lastMessageNumber;
   private final Map<SimulatedController, Double> lastReachedAt = new HashMap<>();
   private final List<Runnable> unreadMessages = new ArrayList<>();
   private final List<Runnable> overdueTimers = new ArrayList<>();
@@ -91,7 +91,7 @@
             path,
             body,
             timeoutS,
-            response -> run(unreadMessages, () -> then.onResponse(response)));
+            response -> runUnlessPaused(unreadMessages, () -> then.onResponse(response)));
       }
     };
   }
@@ -103,10 +103,10 @@
 
   @Override
   public Timer schedule(double seconds, Runnable action) {
-    return loop.schedule(seconds, () -> run(overdueTimers, action));
+    return loop.schedule(seconds, () -> runUnlessPaused(overdueTimers, action));
   }
 
-  private void run(List<Runnable> later, Runnable action) {
+  private void runUnlessPaused(List<Runnable> later, Runnable action) {
     if (paused) {
       later.add(action);
     } else if (!stopped) {
@@ -120,7 +120,7 @@
     for (List<Runnable> waiting : List.of(unreadMessages, overdueTimers)) {
       List<Runnable> actions = List.copyOf(waiting);
       waiting.clear();
-      actions.forEach(action -> run(waiting, action));
+      actions.forEach(action -> runUnlessPaused(waiting, action));
     }
   }
 
@@ -172,7 +172,7 @@
   @Override
   public void requestVotes(
       long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotes) {
-    long message = ++lastMessage;
+    long message = ++lastMessageNumber;
     List<Vote> votes = new ArrayList<>();
     Set<SimulatedController> missing = new HashSet<>(controllers);
     missing.remove(this);
@@ -197,12 +197,14 @@
             reportIfDecided.accept(false);
           });
     }
-    loop.schedule(0.001, () -> run(unreadMessages, () -> reportIfDecided.accept(false)));
+    loop.schedule(
+        0.001, () -> runUnlessPaused(unreadMessages, () -> reportIfDecided.accept(false)));
     // Peers that became unreachable lately are waited for while their votes matter, so several
     // candidates may campaign at the same time.
     loop.schedule(
-        LEASE_DURATION_S / 4, () -> run(unreadMessages, () -> reportIfDecided.accept(true)));
-    deliverAgainAfterTheEnd(term);
+        LEASE_DURATION_S / 4,
+        () -> runUnlessPaused(unreadMessages, () -> reportIfDecided.accept(true)));
+    deliverDuplicateAfterProcessEnd(term);
   }
 
   /** The request and the response are both delayed, and meanwhile others may request votes too. */
@@ -212,7 +214,7 @@
         MAX_MESSAGE_DELAY_S * random.nextDouble(),
         () -> {
           // A message that was overtaken by a later one of the same process is ignored.
-          if (message != lastMessage) {
+          if (message != lastMessageNumber) {
             return;
           }
           LeaseRequest request =
@@ -220,12 +222,12 @@
           Vote vote = new Vote(peer.node, peer.leadership.incarnation(), peer.grantLease(request));
           loop.schedule(
               MAX_MESSAGE_DELAY_S * random.nextDouble(),
-              () -> run(unreadMessages, () -> onVote.accept(vote)));
+              () -> runUnlessPaused(unreadMessages, () -> onVote.accept(vote)));
         });
   }
 
   /** The network may deliver a copy of a request long after the process of the candidate ended. */
-  private void deliverAgainAfterTheEnd(long term) {
+  private void deliverDuplicateAfterProcessEnd(long term) {
     double delayS = random.nextDouble() * LEASE_DURATION_S;
     for (SimulatedController peer : reachablePeers()) {
       loop.schedule(
@@ -240,7 +242,7 @@
 
   @Override
   public void sendWithdrawal(long term) {
-    lastMessage++;
+    lastMessageNumber++;
     reachablePeers().forEach(peer -> peer.leadership.recordWithdrawal(process(), term));
   }
 
