--- a/src/main/java/org/saffronshore/leadership/CampaignOutcome.java
+++ b/src/main/java/org/saffronshore/leadership/CampaignOutcome.java
@@ -4,17 +4,20 @@
 sealed interface CampaignOutcome {
 
   /**
-   * The campaign was won: the leader's key is set, attached to a lease.
+   * The campaign was won: the leader key is set and attached to a store lease.
    *
    * @param term the term that this controller leads
-   * @param leaderKeyVersion the version of the leader's key
+   * @param leaderKeyVersion the version of the leader key
    * @param leaseId the store lease
-   * @param leaseRequestedAt when that lease was requested, on the clock of the event loop
+   * @param leaseRequestedAt when that lease was requested, in seconds on the event loop's clock
    */
   record Won(long term, long leaderKeyVersion, long leaseId, double leaseRequestedAt)
       implements CampaignOutcome {}
 
-  /** The campaign was lost, and whatever it had acquired is withdrawn or revoked. */
+  /**
+   * The campaign was lost. Votes of peers have been withdrawn if they did not make a quorum. If a
+   * store lease was created, its revocation has been answered or has timed out.
+   */
   record Lost(Reason reason) implements CampaignOutcome {}
 
   /** Why a campaign was lost. */
--- a/src/main/java/org/saffronshore/leadership/Election.java
+++ b/src/main/java/org/saffronshore/leadership/Election.java
@@ -9,17 +9,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The campaigns of this controller, one at a time: votes of a quorum, from its peers or through the
- * state service, or proof that the last leader's process has ended, and then the claim of the
- * leader's key.
+ * Runs the campaigns of this controller, one at a time. A campaign claims the leader key once it
+ * has the votes of a quorum, requested from the peers or through the state service, or proof that
+ * the last leader does not act any more. The first term of a deployment is claimed without either.
  */
 final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
   /**
-   * After this many campaigns that a quorum left unanswered, votes are requested through the state
-   * service. Where most peers cannot be reached, a leader that is cut off could not be replaced
-   * otherwise.
+   * The number of campaigns without responses from a quorum after which votes are requested through
+   * the state service. Without this, a leader that is cut off could not be replaced while most
+   * peers are unreachable.
    */
   private static final int MAX_UNANSWERED_CAMPAIGNS = 2;
 
@@ -32,11 +32,13 @@
   private final LeaderKeyClaim leaderKeyClaim;
   private final Consumer<CampaignOutcome> onCampaignEnded;
 
-  /** Campaigns that a quorum left unanswered, since the last one that reached the claim. */
+  /** Campaigns without responses from a quorum since the last campaign that reached the claim. */
   private int unansweredCampaigns;
 
   /**
-   * @param onCampaignEnded is called once for each campaign
+   * Creates an election that has not started a campaign yet.
+   *
+   * @param onCampaignEnded called once for each campaign
    */
   Election(
       ControllerProcess self,
@@ -46,7 +48,7 @@
       PeerVoting peerVoting,
       StateServiceVoting stateServiceVoting,
       LeaderKeyClaim leaderKeyClaim,
-      Consumer<CampaignOutcome> onOutcome) {
+      Consumer<CampaignOutcome> onCampaignEnded) {
     this.self = self;
     this.quorum = quorum;
     this.state = state;
@@ -54,10 +56,13 @@
     this.peerVoting = peerVoting;
     this.stateServiceVoting = stateServiceVoting;
     this.leaderKeyClaim = leaderKeyClaim;
-    this.onCampaignEnded = onOutcome;
+    this.onCampaignEnded = onCampaignEnded;
   }
 
-  /** Campaigns for the term after the last one. The leader's key was missing a moment ago. */
+  /**
+   * Starts a campaign for the term after the last one. To be called when the leader key was found
+   * missing.
+   */
   void startCampaign() {
     state.get(
         Keys.TERM,
@@ -73,8 +78,8 @@
 
   private void requestVotes(LastTerm lastTerm) {
     long term = lastTerm.nextNumber();
-    // Its own lease first: two candidates that grant theirs to each other, or split the votes,
-    // would both fail.
+    // A candidate grants itself its own lease before it requests others: two candidates that grant
+    // their leases to each other, or split the votes, would both fail.
     boolean ownGranted = leaseGrants.tryGrant(self, term);
     if (!ownGranted && leaseGrants.isGrantedToOther(self, term)) {
       if (unansweredCampaigns >= MAX_UNANSWERED_CAMPAIGNS) {
@@ -100,7 +105,7 @@
     }
     long term = lastTerm.nextNumber();
     LOG.debug(
-        "No quorum: node={} term={} granted={} responses={}",
+        "Campaign got no quorum of votes: node={} term={} granted={} responses={}",
         self.node(),
         term,
         granted,
@@ -119,8 +124,8 @@
   }
 
   /**
-   * Whether the missing votes cannot change the outcome. Waiting for them would only keep the
-   * leases of those that have voted from other candidates.
+   * Returns whether the missing votes cannot change the outcome. Waiting for them would only
+   * withhold the leases of the peers that have voted from other candidates.
    */
   private boolean isVoteDecided(List<PeerVoting.Vote> votes, int ownVotes) {
     long granted = countGranted(votes) + ownVotes;
@@ -129,8 +134,8 @@
   }
 
   /**
-   * Whether the process that led last has ended: another incarnation of its controller has just
-   * voted, or is this one.
+   * Returns whether the process that led last does not act any more: another incarnation of its
+   * controller has just voted, or it was a process of this controller, which is not leading now.
    */
   private boolean hasLastLeaderProcessEnded(LastTerm lastTerm, List<PeerVoting.Vote> votes) {
     return self.node().equals(lastTerm.node())
@@ -158,7 +163,10 @@
         });
   }
 
-  /** Whether the votes of others make a quorum, if need be with the lease of this controller. */
+  /**
+   * Returns whether the votes of other controllers make a quorum. If one vote is missing, this
+   * controller tries to grant itself its own lease.
+   */
   private boolean isElected(long term, long granted) {
     return quorum.isMet(granted) || (quorum.isMet(granted + 1) && leaseGrants.tryGrant(self, term));
   }
--- a/src/main/java/org/saffronshore/leadership/LastTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LastTerm.java
@@ -5,17 +5,17 @@
 import org.saffronshore.state.LeaderRecord;
 
 /**
- * The latest term of the deployment, as the term's key has it.
+ * The latest term of the deployment, as stored in the term key.
  *
- * @param number 0 when there was none
- * @param node the controller that led it; null when that is not known
- * @param incarnation the process that led it; null when that is not known
- * @param keyVersion the version of the term's key; 0 when the key is missing
+ * @param number the term's number; 0 if there was no term yet
+ * @param node the controller that led the term; null if it is not known
+ * @param incarnation the process that led the term; null if it is not known
+ * @param keyVersion the version of the term key; 0 if the key is missing
  */
 record LastTerm(long number, @Nullable String node, @Nullable String incarnation, long keyVersion) {
   private static final LastTerm NONE = new LastTerm(0, null, null, 0);
 
-  /** Reads the term's key, which is found or missing. */
+  /** Parses the result of reading the term key, which must be found or missing, not unknown. */
   static LastTerm fromTermKey(GetResult key) {
     if (key.isMissing()) {
       return NONE;
--- a/src/main/java/org/saffronshore/leadership/LeaderKeyClaim.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderKeyClaim.java
@@ -9,8 +9,8 @@
 import org.saffronshore.state.Transaction;
 
 /**
- * The last step of a campaign: creates a store lease, and sets the leader's key attached to it in
- * the transaction that raises the term.
+ * The last step of a campaign: creates a store lease, and then sets the leader key, attached to
+ * that lease, in the transaction that increments the term.
  */
 final class LeaderKeyClaim {
   private final EventLoop loop;
@@ -25,22 +25,29 @@
     this.leaseDurationS = leaseDurationS;
   }
 
-  /** Claims the term after the last one. */
-  void claimNextTerm(LastTerm lastTerm, Consumer<CampaignOutcome> onOutcome) {
+  /**
+   * Claims the term after the last one.
+   *
+   * @param onCampaignEnded called once with the outcome of the campaign
+   */
+  void claimNextTerm(LastTerm lastTerm, Consumer<CampaignOutcome> onCampaignEnded) {
     double requestedAt = loop.now();
     state.grantLease(
         leaseDurationS,
         lease -> {
           if (lease.isEmpty()) {
-            onOutcome.accept(new CampaignOutcome.Lost(CampaignOutcome.Reason.NO_STORE_LEASE));
+            onCampaignEnded.accept(new CampaignOutcome.Lost(CampaignOutcome.Reason.NO_STORE_LEASE));
           } else {
-            setLeaderKey(lastTerm, lease.getAsLong(), requestedAt, onOutcome);
+            setLeaderKey(lastTerm, lease.getAsLong(), requestedAt, onCampaignEnded);
           }
         });
   }
 
   private void setLeaderKey(
-      LastTerm lastTerm, long leaseId, double requestedAt, Consumer<CampaignOutcome> onOutcome) {
+      LastTerm lastTerm,
+      long leaseId,
+      double requestedAt,
+      Consumer<CampaignOutcome> onCampaignEnded) {
     long term = lastTerm.nextNumber();
     LeaderRecord leader = new LeaderRecord(self.node(), self.incarnation(), term);
     Transaction transaction =
@@ -54,15 +61,15 @@
         RequestPriority.VITAL,
         result -> {
           if (result.isCommitted()) {
-            onOutcome.accept(
+            onCampaignEnded.accept(
                 new CampaignOutcome.Won(term, result.revision(), leaseId, requestedAt));
             return;
           }
-          // A claim whose response was lost may still be carried out, until its lease has ended.
+          // A claim whose response was lost may still be committed, until its lease has ended.
           state.revokeLease(
               leaseId,
               () ->
-                  onOutcome.accept(
+                  onCampaignEnded.accept(
                       new CampaignOutcome.Lost(CampaignOutcome.Reason.CLAIM_NOT_COMMITTED)));
         });
   }
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of this controller as leader: whether it still lasts, what it allows at the moment, and
- * how it is ended. The loops of the term ask here before they act; nothing here knows what they do.
+ * A term that this controller leads: whether it has ended, what the controller may do at the
+ * moment, and how to step down. The periodic tasks of the term check it before they act; this class
+ * does not depend on what they do.
  */
 public final class LeaderTerm {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -16,7 +17,7 @@
   private final Leadership leadership;
   private final long number;
 
-  /** A gap between two checks that is longer than this means that the process was paused. */
+  /** A longer gap than this between two checks means that the process was paused. */
   private final double pauseThresholdS;
 
   private final Runnable onPauseDetected;
@@ -28,15 +29,19 @@
    * Starts a term.
    *
    * @param number the term's number, which is its fencing token
-   * @param onPauseDetected is called when the process has been paused while its clock ran on
+   * @param onPauseDetected called when the process was paused while its clock continued
    */
   public LeaderTerm(
-      EventLoop loop, Settings settings, Leadership leadership, long number, Runnable onPause) {
+      EventLoop loop,
+      Settings settings,
+      Leadership leadership,
+      long number,
+      Runnable onPauseDetected) {
     this.loop = loop;
     this.leadership = leadership;
     this.number = number;
     this.pauseThresholdS = settings.heartbeatIntervalS() / 3;
-    this.onPauseDetected = onPause;
+    this.onPauseDetected = onPauseDetected;
     this.lastPauseCheckAt = loop.now();
   }
 
@@ -44,27 +49,33 @@
     return number;
   }
 
-  /** The version of the leader's key as this term wrote it. */
+  /** Returns the version of the leader key that was written when this term began. */
   public long leaderKeyVersion() {
     return leadership.leaderKeyVersion();
   }
 
-  /** Whether this controller may act as leader at this moment. */
+  /** Returns whether this controller may act as leader at this moment. */
   public boolean isActive() {
     return !ended && leadership.isActive();
   }
 
-  /** Whether the state service renews the leader's lease: what is decided can be persisted. */
+  /**
+   * Returns whether the leader's lease in the state service is valid, so that decisions can be
+   * persisted.
+   */
   public boolean holdsStoreLease() {
     return !ended && leadership.holdsStoreLease();
   }
 
-  /** Whether no other controller may act, although this one may not know enough yet to act. */
+  /**
+   * Returns whether no other controller may act. This one may not act either while it lacks recent
+   * information on cancellations.
+   */
   public boolean holdsLease() {
     return !ended && leadership.holdsLease();
   }
 
-  /** Whether the records of earlier terms have been read from the state service. */
+  /** Returns whether the records of earlier terms have been read from the state service. */
   public boolean hasLoadedRecords() {
     return recordsLoaded;
   }
@@ -77,44 +88,50 @@
     return ended;
   }
 
-  /** This controller leads no more; called by the owner of the term. */
+  /** Marks the term as ended. Called by the owner of the term when this controller steps down. */
   public void markEnded() {
     ended = true;
   }
 
-  /** Lets this controller renew leases and launch tasks until a moment, and not any longer. */
-  public void allowRenewalsUntil(double until) {
-    leadership.allowRenewalsUntil(until);
+  /** Allows this controller to renew worker leases and launch tasks until the deadline. */
+  public void allowRenewalsUntil(double deadline) {
+    leadership.allowRenewalsUntil(deadline);
   }
 
-  /** Steps down: the leadership is provably gone, or another controller would serve better. */
+  /** Steps down, since the leadership is provably lost or another controller can lead better. */
   public void stepDown(String reason) {
     leadership.stepDown(reason);
   }
 
-  /** Steps down, and lets the others campaign for a while before this controller does. */
+  /** Steps down, and gives the other controllers time to campaign before this one does. */
   public void yieldLeadership(String reason) {
     leadership.yieldLeadership(reason);
   }
 
   /**
-   * Steps down if a worker has seen a larger fencing token than this term's: there is a newer
-   * leader.
+   * Steps down if a worker has seen a larger fencing token than this term's, which proves that
+   * there is a newer leader.
    *
-   * @return whether that is so
+   * @return whether the worker has seen a larger fencing token
    */
   public boolean stepDownIfSuperseded(String machine, long fencingToken) {
     if (fencingToken <= number) {
       return false;
     }
-    stepDown("worker " + machine + " has seen fencing token " + fencingToken);
+    stepDown(
+        "worker "
+            + machine
+            + " has seen fencing token "
+            + fencingToken
+            + ", larger than "
+            + number);
     return true;
   }
 
   /**
-   * Detects that this process was paused while its clock ran on: some loop of the term runs more
-   * often than several times in a heartbeat interval. To be called before anything is concluded
-   * from missing messages.
+   * Detects whether this process was paused while its clock continued. At least one periodic task
+   * of the term runs several times per heartbeat interval, so checks are never far apart otherwise.
+   * To be called before missing messages are taken as a sign of failure.
    */
   public void detectPause() {
     double now = loop.now();
@@ -129,9 +146,10 @@
   }
 
   /**
-   * Repeats an action for as long as the term lasts, but runs it only while it is active.
+   * Repeats an action until the term has ended. While this controller may not act, the runs are
+   * skipped.
    *
-   * @param periodS the time between the end of one run and the start of the next, in seconds
+   * @param periodS the time from the end of one run to the start of the next, in seconds
    */
   public void repeatWhileActive(double periodS, Runnable action) {
     loop.schedule(
--- a/src/main/java/org/saffronshore/leadership/LeaderWatch.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderWatch.java
@@ -12,13 +12,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the leader's key while this controller neither leads nor campaigns: who leads as far as
- * is known here. When the key is missing the watch ends, and its owner decides what comes next.
+ * Reads and watches the leader key while this controller neither leads nor campaigns, and keeps the
+ * leader that it names. When the key is missing, the watch ends and its owner decides what to do.
  */
 final class LeaderWatch {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderWatch.class);
 
-  /** The term of a leader that is not known. */
+  /** The value of {@link #leaderTerm} while no leader is known. */
   private static final long NO_TERM = -1;
 
   private final EventLoop loop;
@@ -26,19 +26,21 @@
   private final ControllerProcess self;
   private final RetryDelays delays;
 
-  /** How long the state service may hold a watch request without an event, in seconds. */
+  /** How long the state service may hold a watch request open without an event, in seconds. */
   private final double maxWatchDurationS;
 
   private final Runnable onKeyMissing;
   private @Nullable String leaderNode;
 
-  /** Outlives the knowledge of the leader's name while the state service does not respond. */
+  /** Kept while the state service does not respond, although {@link #leaderNode} is cleared. */
   private long leaderTerm = NO_TERM;
 
   private long watchRevision;
 
   /**
-   * @param onKeyMissing is called once for each {@link #followLeaderKey}, when the leader's key is
+   * Creates a watch that does nothing until {@link #followLeaderKey} is called.
+   *
+   * @param onKeyMissing called once for each {@link #followLeaderKey}, when the leader key is
    *     missing
    */
   LeaderWatch(
@@ -46,33 +48,36 @@
       StateClient state,
       ControllerProcess self,
       RetryDelays delays,
-      double watchHoldS,
+      double maxWatchDurationS,
       Runnable onKeyMissing) {
     this.loop = loop;
     this.state = state;
     this.self = self;
     this.delays = delays;
-    this.maxWatchDurationS = watchHoldS;
+    this.maxWatchDurationS = maxWatchDurationS;
     this.onKeyMissing = onKeyMissing;
   }
 
-  /** The controller that leads as far as is known here; null when none is known. */
+  /** Returns the controller that is known to lead; null if none is known. */
   @Nullable String leaderNode() {
     return leaderNode;
   }
 
-  /** The term of the leader's key when it was read last; -1 when it was missing or has changed. */
+  /**
+   * Returns the term in the leader key when it was last read; -1 if the key was missing or has
+   * changed since, or if the leader was forgotten.
+   */
   long leaderTerm() {
     return leaderTerm;
   }
 
-  /** Forgets who leads, until the key is read again. */
+  /** Forgets the known leader until the leader key is read again. */
   void forgetLeader() {
     leaderNode = null;
     leaderTerm = NO_TERM;
   }
 
-  /** Reads the leader's key, and watches it until it is missing. */
+  /** Reads the leader key, and watches it until it is missing. */
   void followLeaderKey() {
     state.get(
         Keys.LEADER,
@@ -99,7 +104,8 @@
     leaderNode = leader.controller();
     leaderTerm = leader.term();
     if (self.node().equals(leaderNode) && !self.incarnation().equals(leader.incarnation())) {
-      // That process has ended, so nobody has to wait until its lease expires.
+      // The earlier process of this controller has ended, so no controller has to wait until its
+      // lease expires.
       leaderNode = null;
       LOG.info(
           "Revoking the lease of an earlier incarnation: node={} term={} lease={}",
@@ -120,8 +126,8 @@
         maxWatchDurationS,
         changes -> {
           if (!changes.isReceived()) {
-            // The known leader may be an old one. While none is named, workers that were refused
-            // here try the next controller.
+            // The known leader may have been replaced. While this controller names no leader,
+            // workers whose requests it refuses try the next controller.
             if (changes.outcome() != WatchResult.Outcome.COMPACTED) {
               leaderNode = null;
             }
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -9,54 +9,57 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leader election: whether this controller may act for the deployment.
+ * Leader election. Decides whether this controller may act for the deployment.
  *
- * <p>The leader's key in the state service is attached to a lease (the store lease), and the
- * transaction that sets the key raises the term, which is the fencing token of commands to workers.
- * A leader may act while its store lease is provably valid, counted from when it sent the last
- * successful renewal on a clock that may run slow; beyond that only while a quorum of controllers
- * grants it their leases (see {@link QuorumLease}).
+ * <p>The leader key in the state service is attached to a lease, the store lease. The transaction
+ * that sets the key increments the term, which is the fencing token of commands to workers. A
+ * leader may act while its store lease is provably valid, counted from when it sent the last
+ * successful renewal, on a clock that may run slow. After that it may act only while a quorum of
+ * controllers grants it their leases (see {@link QuorumLease}).
  *
- * <p>Two leaders never act at the same time. A new leader claims the key only when it is missing,
- * so the store lease of the last leader is over, which the last leader notices first, since it
- * counts the lease from an earlier moment and as shorter. The new leader also needs one of two
- * things:
+ * <p>Two leaders never act at the same time. A new leader claims the leader key only when the key
+ * is missing, so the store lease of the last leader has ended by then. The last leader has stopped
+ * relying on it before, since it counts the lease from an earlier moment and for a shorter
+ * duration. Unless it claims the first term, the new leader also needs one of the following:
  *
  * <ul>
- *   <li>Proof that the process that led last has ended: another incarnation of its controller has
- *       voted. A process that has ended does not act.
- *   <li>The leases of a quorum. Any two quorums have a controller in common. That controller
- *       granted its lease to the last leader earlier, and grants it to one process at a time (see
- *       {@link LeaseGrants}), so the last leader's lease is over there, and over earlier for its
- *       holder: the last leader has no quorum any more. A controller that was restarted grants
- *       nothing until what its earlier incarnation may have granted is over.
+ *   <li>Proof that the process that led last does not act any more. Either another incarnation of
+ *       its controller has voted, so that process has ended, and a process that has ended does not
+ *       act. Or the process that led last was one of the new leader's own controller: an earlier
+ *       incarnation, which has ended, or this process itself, which has stepped down.
+ *   <li>The leases of a quorum. Any two quorums have a controller in common. If that controller
+ *       granted its lease to the last leader earlier, that lease has ended at the controller, since
+ *       it grants its lease to one process at a time (see {@link LeaseGrants}). The lease ended
+ *       even earlier for its holder, so the last leader has no quorum any more. A restarted
+ *       controller grants nothing until every lease that its earlier incarnation may have granted
+ *       has ended.
  * </ul>
  *
- * <p>The section "Who leads" of docs/design.md has the whole argument, and what happens in outages.
+ * <p>The section "Who leads" of docs/design.md has the whole argument, and describes outages.
  */
 public final class Leadership {
 
-  /** Learns when this controller begins and ceases to lead; called on the event loop. */
+  /** Is notified, on the event loop, when this controller starts or stops leading. */
   public interface Listener {
     /**
-     * This controller leads from now on.
+     * Called when this controller was elected and leads the term.
      *
-     * @param keyVersion the version of the leader's key; every earlier leader had stopped acting
+     * @param keyVersion the version of the leader key; every earlier leader had stopped acting
      *     before that revision
      */
     void onElected(long term, long keyVersion);
 
-    /** This controller has ceased to lead. */
+    /** Called when this controller has stepped down. */
     void onSteppedDown(String reason);
   }
 
   /**
-   * What this controller is at the moment. The transitions are {@link #onLeaderKeyMissing}
-   * (follower to candidate), {@link #onCampaignEnded} (candidate to leader or follower), and {@link
+   * The current role of this controller. The transitions are {@link #onLeaderKeyMissing} (follower
+   * to candidate), {@link #onCampaignEnded} (candidate to leader or follower), and {@link
    * #stepDown} (leader to follower).
    */
   private enum Role {
-    /** Follows the leader's key, or waits before it does so. */
+    /** Follows the leader key, or waits before it does. */
     FOLLOWER,
     CANDIDATE,
     LEADER
@@ -65,8 +68,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
   /**
-   * The duration of the leader's lease as a share of a worker's lease: a new leader has to be there
-   * before the leases of workers expire.
+   * The duration of the leader's lease as a fraction of a worker's lease. A new leader must be
+   * elected before the leases of the workers expire.
    */
   private static final double LEASE_SHARE_OF_WORKER_LEASE = 1.0 / 5;
 
@@ -87,14 +90,14 @@
 
   private Role role = Role.FOLLOWER;
 
-  /** The term that this controller leads, or led last; 0 before the first. */
+  /** The term that this controller leads or led last; 0 if it has not led any. */
   private long term;
 
   private long leaderKeyVersion;
   private double renewalsAllowedUntil = Double.NEGATIVE_INFINITY;
   private double noCampaignUntil = Double.NEGATIVE_INFINITY;
 
-  /** Takes part in elections once {@link #start} is called. */
+  /** Creates a follower, which takes part in elections once {@link #start} is called. */
   public Leadership(
       EventLoop loop,
       StateClient state,
@@ -114,7 +117,7 @@
     this.leaseGrants = new LeaseGrants(loop, leaseDurationS);
     this.quorumLease = new QuorumLease(leaseDurationS, quorum);
     this.storeLease =
-        new StoreLease(loop, state, leaseDurationS, () -> stepDown("its lease has expired"));
+        new StoreLease(loop, state, leaseDurationS, () -> stepDown("store lease has expired"));
     this.leaderWatch =
         new LeaderWatch(loop, state, self, delays, leaseDurationS, this::onLeaderKeyMissing);
     this.election =
@@ -129,48 +132,55 @@
             this::onCampaignEnded);
   }
 
-  /** Begins to follow the leader's key, and to campaign when it is missing. */
+  /** Starts to follow the leader key, and to campaign whenever the key is missing. */
   public void start() {
     leaderWatch.followLeaderKey();
   }
 
-  /** Whether no other controller may act, by the store lease or by the leases of a quorum. */
+  /**
+   * Returns whether this controller leads and no other controller may act, since its store lease or
+   * the leases of a quorum are valid.
+   */
   public boolean holdsLease() {
     double now = loop.now();
     return isLeading() && (storeLease.isValid() || now < quorumLease.validUntil());
   }
 
   /**
-   * Whether this controller may act for the deployment at this moment: it holds a lease, and knows
-   * enough of cancellations to act, see {@link #allowRenewalsUntil}.
+   * Returns whether this controller may act for the deployment at this moment. It must hold a
+   * lease, and its information on cancellations must be recent enough, see {@link
+   * #allowRenewalsUntil}.
    */
   public boolean isActive() {
     return holdsLease() && loop.now() < renewalsAllowedUntil;
   }
 
-  /** Whether the store lease itself is valid, and not only the leases of a quorum. */
+  /** Returns whether the store lease is valid, whatever the leases of a quorum allow. */
   public boolean holdsStoreLease() {
     return isLeading() && storeLease.isValid();
   }
 
   /**
-   * Bounds the time for which this leader renews the leases of workers and launches tasks, whatever
-   * lease it holds. Beyond that moment it could keep a task running for too long whose cancellation
-   * it does not know.
+   * Sets the deadline until which this leader may renew the leases of workers and launch tasks,
+   * whatever lease it holds itself. After the deadline it could keep a task running for too long
+   * that was cancelled without its knowledge.
+   *
+   * @param deadline in seconds on the event loop's clock
    */
-  public void allowRenewalsUntil(double until) {
-    renewalsAllowedUntil = until;
+  public void allowRenewalsUntil(double deadline) {
+    renewalsAllowedUntil = deadline;
   }
 
-  /** Distinguishes this process from earlier ones of the same controller. */
+  /** Returns the identifier that distinguishes this process from earlier ones of its controller. */
   public String incarnation() {
     return self.incarnation();
   }
 
   /**
-   * A peer granted its lease to this leader.
+   * Records that a peer granted its lease to this leader. Ignored while this controller does not
+   * lead.
    *
-   * @param requestedAt when the request was sent, on the clock of the event loop
+   * @param requestedAt when the request was sent, in seconds on the event loop's clock
    */
   public void recordGrant(String peer, double requestedAt) {
     if (isLeading()) {
@@ -179,11 +189,14 @@
   }
 
   /**
-   * Grants the lease of this controller to a peer, unless another process may hold it. Leases are
-   * meant for outages of the state service that all controllers share: a leader that the state
-   * service refuses alone, or whose key is missing, is granted none.
+   * Grants the lease of this controller to a peer, unless this controller holds a lease as leader
+   * or another process may hold the lease of this controller. Leases are meant for outages of the
+   * state service that affect all controllers. While the state service serves this controller, a
+   * requester that it does not serve is refused, and so is a leader whose term is not that of the
+   * leader key as this controller last read it.
    *
    * @param stateServiceAvailable whether the state service serves this controller
+   * @return whether the lease was granted or renewed
    */
   public boolean grantLease(LeaseRequest request, boolean stateServiceAvailable) {
     if (holdsLease()) {
@@ -200,27 +213,30 @@
     return leaseGrants.tryGrant(request.requester(), request.term());
   }
 
-  /** A peer has withdrawn from a term, so it will not act on the lease of this controller. */
+  /**
+   * Releases the lease that was granted to a peer for a term. The peer has withdrawn from the term,
+   * so it will not act on the lease any more.
+   */
   public void recordWithdrawal(ControllerProcess requester, long withdrawnTerm) {
     leaseGrants.releaseIfHeldBy(requester, withdrawnTerm);
   }
 
-  /** Whether this controller was elected and has not stepped down, even if it may not act now. */
+  /** Returns whether this controller was elected and has not stepped down; it may be inactive. */
   public boolean isLeading() {
     return role == Role.LEADER;
   }
 
-  /** The term that this controller leads, or led last; 0 before the first. */
+  /** Returns the term that this controller leads or led last; 0 if it has not led any. */
   public long term() {
     return term;
   }
 
-  /** The version of the leader's key in that term. */
+  /** Returns the version of the leader key in the term that this controller leads or led last. */
   public long leaderKeyVersion() {
     return leaderKeyVersion;
   }
 
-  /** The controller that leads as far as is known here. */
+  /** Returns the controller that is known to lead; empty if none is known. */
   public Optional<String> leaderNode() {
     if (isLeading()) {
       return isActive() ? Optional.of(self.node()) : Optional.empty();
@@ -263,15 +279,18 @@
     listener.onElected(term, leaderKeyVersion);
   }
 
-  /** Steps down, and leaves time for the others to campaign before this controller does. */
+  /**
+   * Steps down, and does not campaign for half the duration of a worker's lease, so that another
+   * controller can be elected.
+   */
   public void yieldLeadership(String reason) {
     noCampaignUntil = loop.now() + settings.workerLeaseS() / 2;
     stepDown(reason);
   }
 
   /**
-   * Steps down, if this controller leads: its lease is provably over, or another one would serve
-   * better.
+   * Steps down, if this controller leads. To be called when its leadership is provably lost or
+   * another controller can lead better.
    */
   public void stepDown(String reason) {
     if (!isLeading()) {
--- a/src/main/java/org/saffronshore/leadership/LeaseGrants.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseGrants.java
@@ -5,23 +5,27 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * The lease that this controller grants, to one leader or candidate at a time. The grantor counts a
- * lease from when it received the request, and for longer than its duration by what clocks may
- * drift. The holder counts from when it sent the request, and for less than the duration, see
- * {@link QuorumLease}. So a lease ends for its holder before it ends for its grantor.
+ * The lease that this controller grants to one leader or candidate at a time. The grantor counts
+ * the lease from when it received the request, and lengthens its duration by the possible clock
+ * drift. The holder counts it from when it sent the request, and shortens its duration by the
+ * possible clock drift, see {@link QuorumLease}. A lease therefore ends for its holder before it
+ * ends for its grantor.
  */
 final class LeaseGrants {
   private final EventLoop loop;
   private final double leaseDurationS;
   private final double noGrantsUntil;
 
-  /** Who was granted the latest lease; null when none was granted yet. */
+  /** The process that the latest lease was granted to; null if none was granted yet. */
   private @Nullable ControllerProcess holder;
 
   private long holderTerm;
   private double grantedUntil = Double.NEGATIVE_INFINITY;
 
-  /** Grants nothing until every lease that an earlier incarnation can have granted is over. */
+  /**
+   * Creates the grants of a process that has just started. It grants nothing until every lease that
+   * an earlier incarnation of this controller may have granted has expired.
+   */
   LeaseGrants(EventLoop loop, double leaseDurationS) {
     this.loop = loop;
     this.leaseDurationS = leaseDurationS;
@@ -29,14 +33,15 @@
   }
 
   /**
-   * Grants or renews the lease for a process that leads, or wants to lead, a term.
+   * Grants the lease to a process that leads a term or is a candidate for it, or renews it.
    *
-   * @return false while another process may still hold it, or when the term is over
+   * @return false if another process may still hold a lease of this controller, or if the term is
+   *     earlier than that of the latest grant
    */
   boolean tryGrant(ControllerProcess requester, long term) {
     double now = loop.now();
-    // Several candidates may hold the lease for one term, one after another. The condition on the
-    // version of the term's key lets only one of them lead it.
+    // Several candidates may hold the lease for the same term, one after another. Only one of them
+    // can lead the term, since its claim expects the version of the term key.
     if (now < noGrantsUntil
         || term < holderTerm
         || (!requester.equals(holder) && now < grantedUntil)) {
@@ -48,12 +53,15 @@
     return true;
   }
 
-  /** Whether another process holds the lease for that term. */
+  /** Returns whether a process other than the requester holds the lease for the term. */
   boolean isGrantedToOther(ControllerProcess requester, long term) {
     return term == holderTerm && loop.now() < grantedUntil && !requester.equals(holder);
   }
 
-  /** Ends the lease: its holder has withdrawn, and will not act on it any more. */
+  /**
+   * Releases the lease if the requester holds it for the term. To be called when the requester has
+   * withdrawn, and so will not act on the lease any more.
+   */
   void releaseIfHeldBy(ControllerProcess requester, long term) {
     if (term == holderTerm && requester.equals(holder)) {
       grantedUntil = Double.NEGATIVE_INFINITY;
--- a/src/main/java/org/saffronshore/leadership/LeaseRequest.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseRequest.java
@@ -1,21 +1,21 @@
 package org.saffronshore.leadership;
 
 /**
- * Another controller's request for the lease of this one.
+ * A request of another controller for the lease of this one.
  *
  * @param requester the process that requests the lease
- * @param term the term that it leads, or wants to lead
- * @param role why it requests the lease
+ * @param term the term that the requester leads or is a candidate for
+ * @param role the requester's role in that term
  * @param stateServiceAvailable whether the state service serves the requester
  */
 public record LeaseRequest(
     ControllerProcess requester, long term, Role role, boolean stateServiceAvailable) {
 
-  /** What the requester is in the term that it names. */
+  /** The role of the requester in the term of the request. */
   public enum Role {
-    /** Requests a vote. */
+    /** The requester is a candidate, and the request is one for a vote. */
     CANDIDATE,
-    /** Leads already, and renews the lease. */
+    /** The requester already leads the term, and renews the lease. */
     LEADER
   }
 }
--- a/src/main/java/org/saffronshore/leadership/Quorum.java
+++ b/src/main/java/org/saffronshore/leadership/Quorum.java
@@ -1,9 +1,9 @@
 package org.saffronshore.leadership;
 
 /**
- * The majority of the controllers of a deployment. Any two quorums have a controller in common.
+ * A majority of the controllers of a deployment. Any two quorums have a controller in common.
  *
- * @param controllers all controllers of the deployment, this one included
+ * @param controllers the number of controllers of the deployment, including this one
  */
 record Quorum(int controllers) {
   int size() {
--- a/src/main/java/org/saffronshore/leadership/QuorumLease.java
+++ b/src/main/java/org/saffronshore/leadership/QuorumLease.java
@@ -5,15 +5,15 @@
 import org.saffronshore.config.Settings;
 
 /**
- * The leases that the peers of a leader have granted it. While a quorum, the leader included,
- * grants them, it may act although the state service is unavailable. Each lease counts from when
- * its request was sent, and for less than its duration by what clocks may drift.
+ * The leases that the peers have granted to this leader. While a quorum that includes the leader
+ * grants its leases, the leader may act although the state service is unavailable. Each lease is
+ * counted from when its request was sent, with its duration shortened by the possible clock drift.
  */
 final class QuorumLease {
   private final double leaseDurationS;
   private final Quorum quorum;
 
-  /** When the latest request was sent that each peer granted. */
+  /** By peer, when the latest request that the peer granted was sent. */
   private final Map<String, Double> latestGrantedRequestAt = new HashMap<>();
 
   QuorumLease(double leaseDurationS, Quorum quorum) {
@@ -21,7 +21,11 @@
     this.quorum = quorum;
   }
 
-  /** A peer has granted its lease in response to a request that was sent at that moment. */
+  /**
+   * Records that a peer has granted its lease.
+   *
+   * @param requestedAt when the granted request was sent, in seconds on the event loop's clock
+   */
   void recordGrant(String peer, double requestedAt) {
     latestGrantedRequestAt.merge(peer, requestedAt, Math::max);
   }
@@ -30,7 +34,10 @@
     latestGrantedRequestAt.clear();
   }
 
-  /** Until when the leases of a quorum last; this controller counts as one of them. */
+  /**
+   * Returns until when the leases of a quorum are valid, in seconds on the event loop's clock. This
+   * controller counts as a member of the quorum.
+   */
   double validUntil() {
     int peersNeeded = quorum.size() - 1;
     if (peersNeeded == 0) {
--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -16,19 +16,19 @@
 import org.saffronshore.state.VoteRequest;
 
 /**
- * Requests votes through the state service, for when the controllers do not reach one another
- * although it serves them. A candidate writes its request. The others find it when they want to
- * campaign themselves, grant their leases as they would if requested directly, and write their
- * votes. A vote for an earlier request does not count.
+ * Requests votes through the state service, for the case that it serves the controllers but they
+ * cannot reach one another. A candidate writes its request to a key. The other controllers read it
+ * when they want to campaign themselves, grant their leases as they would for a direct request, and
+ * write their votes. A vote for an earlier request does not count.
  */
 final class StateServiceVoting {
-  /** In a round the votes are read at most so many times, at equal intervals. */
+  /** The maximum number of times that the votes are read in a round, at equal intervals. */
   private static final int READS_PER_ROUND = 5;
 
-  /** A request that was read so many times without a change is taken as abandoned. */
+  /** A request that was read more often than this without a change is taken as abandoned. */
   private static final int MAX_UNCHANGED_READS = 3;
 
-  /** Grants the lease of this controller. */
+  /** Grants the lease of this controller to a candidate. */
   @FunctionalInterface
   interface LeaseGrantor {
     boolean tryGrant(ControllerProcess candidate, long term);
@@ -48,40 +48,44 @@
       StateClient state,
       ControllerProcess self,
       double roundDurationS,
-      LeaseGrantor granter) {
+      LeaseGrantor leaseGrantor) {
     this.loop = loop;
     this.state = state;
     this.self = self;
     this.roundDurationS = roundDurationS;
-    this.leaseGrantor = granter;
+    this.leaseGrantor = leaseGrantor;
   }
 
   /**
    * Requests votes, or votes for another candidate that has precedence.
    *
-   * @param isQuorum whether the controllers that have voted so far are enough
-   * @param onVoters is called once with the controllers that voted for this one; with none where
-   *     another candidate has precedence or the state service did not take the request
+   * @param isQuorum whether the controllers that have voted so far make a quorum
+   * @param onVotersKnown called once with the controllers that voted for this one; with an empty
+   *     set if another candidate has precedence, or if the request could not be read or committed
    */
-  void requestVotes(long term, Predicate<Set<String>> isQuorum, Consumer<Set<String>> onVoters) {
+  void requestVotes(
+      long term, Predicate<Set<String>> isQuorum, Consumer<Set<String>> onVotersKnown) {
     state.get(
         Keys.VOTE_REQUEST,
         RequestPriority.VITAL,
         key -> {
           if (key.isUnknown()) {
-            onVoters.accept(Set.of());
+            onVotersKnown.accept(Set.of());
             return;
           }
           VoteRequest other = key.isFound() ? VoteRequest.parse(key.value()) : null;
           if (other != null && hasPrecedence(other, term)) {
-            voteFor(other, key.version(), () -> onVoters.accept(Set.of()));
+            voteFor(other, key.version(), () -> onVotersKnown.accept(Set.of()));
           } else {
-            writeRequest(term, key.version(), isQuorum, onVoters);
+            writeRequest(term, key.version(), isQuorum, onVotersKnown);
           }
         });
   }
 
-  /** Of two candidates the lesser name has precedence, as long as it keeps requesting. */
+  /**
+   * Returns whether the other candidate has precedence. Of two candidates for the same term, the
+   * one whose name sorts first has precedence, as long as it keeps writing new requests.
+   */
   private boolean hasPrecedence(VoteRequest other, long term) {
     if (other.candidate() == null
         || other.candidate().compareTo(self.node()) >= 0
@@ -93,27 +97,27 @@
     return unchangedReads <= MAX_UNCHANGED_READS;
   }
 
-  private void voteFor(VoteRequest other, long requestVersion, Runnable onWritten) {
+  private void voteFor(VoteRequest other, long requestVersion, Runnable onVoteWritten) {
     if (other.candidate() == null
         || other.incarnation() == null
         || !leaseGrantor.tryGrant(
             new ControllerProcess(other.candidate(), other.incarnation()), other.term())) {
-      onWritten.run();
+      onVoteWritten.run();
       return;
     }
-    // A vote that is carried out late must not replace one for a later request.
+    // A vote that is committed late must not replace a vote for a later request.
     Transaction transaction =
         new Transaction()
             .expectVersion(Keys.VOTE_REQUEST, requestVersion)
             .put(Keys.vote(self.node()), other.toVote().toJson());
-    state.commit(transaction, RequestPriority.VITAL, result -> onWritten.run());
+    state.commit(transaction, RequestPriority.VITAL, result -> onVoteWritten.run());
   }
 
   private void writeRequest(
       long term,
       long previousVersion,
       Predicate<Set<String>> isQuorum,
-      Consumer<Set<String>> onVoters) {
+      Consumer<Set<String>> onVotersKnown) {
     VoteRequest request = new VoteRequest(self.node(), self.incarnation(), term, ++requestCount);
     Transaction transaction =
         new Transaction()
@@ -124,9 +128,9 @@
         RequestPriority.VITAL,
         result -> {
           if (result.isCommitted()) {
-            scheduleVoteRead(request, 1, isQuorum, onVoters);
+            scheduleVoteRead(request, 1, isQuorum, onVotersKnown);
           } else {
-            onVoters.accept(Set.of());
+            onVotersKnown.accept(Set.of());
           }
         });
   }
@@ -135,25 +139,25 @@
       VoteRequest request,
       int read,
       Predicate<Set<String>> isQuorum,
-      Consumer<Set<String>> onVoters) {
+      Consumer<Set<String>> onVotersKnown) {
     loop.schedule(
-        roundDurationS / READS_PER_ROUND, () -> readVotes(request, read, isQuorum, onVoters));
+        roundDurationS / READS_PER_ROUND, () -> readVotes(request, read, isQuorum, onVotersKnown));
   }
 
   private void readVotes(
       VoteRequest request,
       int read,
       Predicate<Set<String>> isQuorum,
-      Consumer<Set<String>> onVoters) {
+      Consumer<Set<String>> onVotersKnown) {
     state.list(
         Keys.VOTES,
         RequestPriority.VITAL,
         votes -> {
           Set<String> voters = votes.map(listing -> votersFor(request, listing)).orElse(Set.of());
           if (isQuorum.test(voters) || read >= READS_PER_ROUND) {
-            onVoters.accept(voters);
+            onVotersKnown.accept(voters);
           } else {
-            scheduleVoteRead(request, read + 1, isQuorum, onVoters);
+            scheduleVoteRead(request, read + 1, isQuorum, onVotersKnown);
           }
         });
   }
--- a/src/main/java/org/saffronshore/leadership/StoreLease.java
+++ b/src/main/java/org/saffronshore/leadership/StoreLease.java
@@ -6,12 +6,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's lease in the state service, renewed until it is revoked or has expired. */
+/** The leader's lease in the state service, which is renewed until it is revoked or has expired. */
 final class StoreLease {
   private static final Logger LOG = LoggerFactory.getLogger(StoreLease.class);
   private static final double RENEWALS_PER_LEASE = 4;
 
-  /** The delay after a renewal that failed, as a share of the lease's duration. */
+  /** The delay after a failed renewal, as a fraction of the lease's duration. */
   private static final double RETRY_DELAY_FACTOR = 1.0 / 20;
 
   private final EventLoop loop;
@@ -21,11 +21,16 @@
   private long id;
   private double validUntil = Double.NEGATIVE_INFINITY;
 
-  /** Which lease a scheduled renewal belongs to; renewals of earlier ones are dropped. */
+  /**
+   * Incremented when a lease is started or revoked. Scheduled renewals and responses that belong to
+   * an earlier generation are dropped.
+   */
   private int generation;
 
   /**
-   * @param onExpired is called when the state service says that the lease has expired
+   * Creates a store lease that is invalid until {@link #startRenewing} is called.
+   *
+   * @param onExpired called when the state service responds that the lease has expired
    */
   StoreLease(EventLoop loop, StateClient state, double durationS, Runnable onExpired) {
     this.loop = loop;
@@ -34,7 +39,11 @@
     this.onExpired = onExpired;
   }
 
-  /** Renews a lease from now on that was requested at that moment. */
+  /**
+   * Starts to renew a lease that was just granted.
+   *
+   * @param requestedAt when the lease was requested, in seconds on the event loop's clock
+   */
   void startRenewing(long leaseId, double requestedAt) {
     id = leaseId;
     validUntil = requestedAt + Settings.minLocalDuration(durationS);
@@ -43,8 +52,8 @@
   }
 
   /**
-   * Whether the lease has provably not expired, counted from when the last successful renewal was
-   * sent, on a clock that may run slow.
+   * Returns whether the lease has provably not expired. It is counted from when the last successful
+   * renewal was sent, and allows for a local clock that runs slow.
    */
   boolean isValid() {
     return loop.now() < validUntil;
@@ -53,7 +62,7 @@
   /**
    * Revokes the lease.
    *
-   * @param onRevoked is called when the state service has responded, or the request timed out
+   * @param onRevoked called when the state service has responded or the request has timed out
    */
   void revoke(Runnable onRevoked) {
     generation++;
@@ -87,9 +96,9 @@
             }
             case EXPIRED -> onExpired.run();
             default -> {
-              // The retry is worth it even when the lease is not valid any more: after an outage
-              // the state service gives every lease its full duration again.
-              LOG.debug("Lease renewal failed: lease={} valid={}", id, isValid());
+              // Retried even when the lease is not valid any more: after an outage the state
+              // service gives every lease its full duration again.
+              LOG.debug("Store lease renewal failed: lease={} valid={}", id, isValid());
               scheduleRenewal(durationS * RETRY_DELAY_FACTOR, renewedGeneration);
             }
           }
--- a/src/main/java/org/saffronshore/leadership/package-info.java
+++ b/src/main/java/org/saffronshore/leadership/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Which controller leads: elections, the leases that a leader acts on, and the term, which is the
- * fencing token of its commands. {@link org.saffronshore.leadership.Leadership} is what the rest of
- * the program asks; {@code docs/design.md} proves that two leaders never act at the same time.
+ * Leader election: campaigns and votes, the leases that allow a leader to act, and the term, which
+ * is the fencing token of the leader's commands. {@link org.saffronshore.leadership.Leadership} is
+ * the entry point for the rest of the program; {@code docs/design.md} proves that two leaders never
+ * act at the same time.
  *
- * <p>Uses the state service through {@code state}, and its peers through {@link
- * org.saffronshore.leadership.PeerVoting}, which {@code control} implements. Nothing here knows
+ * <p>This package uses the state service through {@code state}, and the peers through {@link
+ * org.saffronshore.leadership.PeerVoting}, which {@code peer} implements. It does not depend on
  * what a leader does. All of it runs on the event loop.
  */
 @NullMarked
--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -16,7 +16,7 @@
 import org.saffronshore.state.Keys;
 import org.saffronshore.state.StateClient;
 
-/** Elections among simulated controllers: one leads, and two are never active at once. */
+/** Elections among simulated controllers. At most one of them is active as leader at any time. */
 class LeadershipTest extends LeadershipTestBase {
   @Test
   void oneOfThreeControllersLeadsAndAllReportItAsLeader() {
@@ -28,7 +28,10 @@
             .allMatch(controller -> leader.equals(controller.leadership.leaderNode())));
   }
 
-  /** The leader stops acting before the next one begins, whether its peers are reachable or not. */
+  /**
+   * Guards against two active leaders when only the leader loses the state service. It must stop
+   * acting before its successor starts, whether it can reach its peers or not.
+   */
   @Test
   void atMostOneLeaderIsActiveWhenOnlyTheLeaderLosesTheStateService() {
     startThreeControllers();
@@ -41,7 +44,7 @@
       assertEquals(
           1,
           activeLeaderCount(),
-          "the others elect a leader although they campaign at the same time");
+          "the other controllers should elect one leader although they campaign at the same time");
       leader.cutFromStateService = false;
       leader.cutFromPeers = false;
       loop.pass(LEASE_DURATION_S * 2);
@@ -50,12 +53,12 @@
     assertEquals(
         terms,
         controllers.stream().flatMap(controller -> controller.termsLed.stream()).distinct().count(),
-        "no term is led twice");
+        "each term should be led by one controller only");
   }
 
   /**
    * While the state service is unavailable to all controllers, the leader acts on the leases of a
-   * quorum. After the outage it continues in the same term.
+   * quorum. After the outage it stays leader in the same term.
    */
   @Test
   void leaderStaysActiveInAnOutageWhileAQuorumGrantsLeases() {
@@ -72,6 +75,10 @@
     assertEquals(1, controllers.stream().mapToInt(controller -> controller.termsLed.size()).sum());
   }
 
+  /**
+   * In an outage the leader acts no longer than its information on cancellations allows, although
+   * it reaches its peers again after a short cut.
+   */
   @Test
   void leaderIsInactiveInAnOutageAfterItsRenewalDeadline() {
     startThreeControllers();
@@ -84,10 +91,15 @@
     loop.pass(LEASE_DURATION_S * 0.9);
     leader.cutFromPeers = false;
     loop.pass(LEASE_DURATION_S / 2);
-    assertFalse(leader.leadership.isActive(), "it may have missed cancellations for too long");
+    assertFalse(
+        leader.leadership.isActive(),
+        "the leader may lack cancellations after its renewal deadline");
   }
 
-  /** The process that held the key has ended, so its next incarnation revokes the lease. */
+  /**
+   * The process that set the leader key has ended, so the next incarnation of its controller
+   * revokes the lease instead of waiting until it expires.
+   */
   @Test
   void nextIncarnationOfTheLeaderTakesOverBeforeTheLeaseExpires() {
     SimulatedController first = startController("n-0", 1);
@@ -100,8 +112,8 @@
   }
 
   /**
-   * No controller reaches another, and the state service refuses the leader alone: the others vote
-   * through the state service.
+   * No controller can reach another, and only the leader loses the state service. The others must
+   * replace it by voting through the state service.
    */
   @Test
   void votesGoThroughTheStateServiceWhenPeersAreUnreachable() {
@@ -121,7 +133,10 @@
     }
   }
 
-  /** The lease of the claim was revoked after the timeout, and the key goes away with it. */
+  /**
+   * A claim that times out is committed later. The candidate has revoked the lease of the claim by
+   * then, so the leader key must not remain set.
+   */
   @Test
   void claimCommittedAfterItsTimeoutDoesNotElectTheCandidate() {
     service.held = (method, path) -> path.equals("/commit");
@@ -133,7 +148,8 @@
     assertFalse(candidate.leadership.isActive());
     service.held = (method, path) -> false;
     service.deliverLate();
-    assertNull(service.value(Keys.LEADER), "its lease was revoked");
+    assertNull(
+        service.value(Keys.LEADER), "the leader key should be removed with its revoked lease");
     loop.pass(LEASE_DURATION_S * 2);
     assertTrue(candidate.leadership.isActive());
   }
@@ -148,8 +164,8 @@
   }
 
   /**
-   * A request for votes that is carried out late must not replace a later one, nor a vote one for a
-   * later request.
+   * A request for votes that is committed late must not replace a later request, and a vote that is
+   * committed late must not count once its request was replaced.
    */
   @Test
   void lateVoteRequestsAndLateVotesAreNotCommitted() {
@@ -171,10 +187,11 @@
     second.requestVotes(9, voters -> false, voters -> {});
     loop.pass(0.1);
     service.deliverLate();
-    assertNull(service.value(Keys.vote("n-7")), "it was for a request that was replaced");
+    assertNull(
+        service.value(Keys.vote("n-7")), "a vote for a replaced request should not be committed");
   }
 
-  /** Ends the process, and starts the next incarnation of the controller after a delay. */
+  /** Ends the process, and starts the next incarnation of its controller after a delay. */
   private void restart(SimulatedController controller, double delayS) {
     controller.stopped = true;
     controllers.remove(controller);
@@ -183,7 +200,7 @@
 
   /**
    * Many controllers campaign when the leader is cut off from all of them. If they split their
-   * votes again and again, none would lead.
+   * votes in one campaign after another, the deployment would have no leader.
    */
   @ParameterizedTest
   @CsvSource({"5, 1", "5, 2", "7, 1", "7, 2", "7, 3", "7, 4", "9, 1"})
@@ -210,8 +227,8 @@
   }
 
   /**
-   * A process that resumes does not act on leases or votes from before the pause, whatever it had
-   * requested or was about to do.
+   * A process that resumes after a pause must not act on leases or votes from before the pause,
+   * whatever it had requested or was about to do.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4})
@@ -235,8 +252,8 @@
   }
 
   /**
-   * The next incarnation proves that the last one has ended, so nobody waits until its lease
-   * expires.
+   * The next incarnation of a controller proves that the last one has ended, so the deployment must
+   * not be without a leader until the lease of the ended process expires.
    */
   @ParameterizedTest
   @CsvSource({"leader, 0.05", "leader, 0.3", "follower, 0.05", "all, 0.05", "all, 0.3"})
@@ -255,8 +272,8 @@
   }
 
   /**
-   * Processes end at any moment, also in the middle of an election, and the network delivers late
-   * copies of their requests.
+   * Guards against two active leaders when processes end at any moment, also during an election,
+   * and the network delivers late copies of their requests.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6})
--- a/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTestBase.java
@@ -14,7 +14,9 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.wire.InvalidFieldException;
 
-/** Controllers on a manual clock, with a fake state service and a network that can fail. */
+/**
+ * Simulated controllers on a manual clock, with a fake state service and a network that can fail.
+ */
 abstract class LeadershipTestBase {
   final ManualEventLoop loop = new ManualEventLoop();
   final FakeStateService service = new FakeStateService(loop);
@@ -58,15 +60,15 @@
     return controllers.stream().filter(LeadershipTestBase::isActiveLeader).findFirst().get();
   }
 
-  /** Passes time in steps, and checks after each that at most one leader is active. */
+  /** Passes time in steps, and checks after each step that at most one leader is active. */
   void passCheckingSingleLeader(int steps, double stepS) {
     passMeasuringTimeWithoutLeader(steps, stepS);
   }
 
   /**
-   * Passes time in steps, and checks after each that at most one leader is active.
+   * Passes time in steps, and checks after each step that at most one leader is active.
    *
-   * @return for how many seconds none was active
+   * @return the time without an active leader, in seconds
    */
   double passMeasuringTimeWithoutLeader(int steps, double stepS) {
     double withoutLeaderS = 0;
--- a/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeaseGrantsTest.java
@@ -17,17 +17,19 @@
   private final ManualEventLoop loop = new ManualEventLoop();
   private final LeaseGrants leaseGrants = new LeaseGrants(loop, LEASE_DURATION_S);
 
-  /** A restarted controller does not know what it granted before. */
+  /** A restarted controller does not know which leases its earlier incarnation granted. */
   @Test
   void nothingIsGrantedUntilLeasesOfAnEarlierIncarnationHaveExpired() {
     assertFalse(leaseGrants.tryGrant(HOLDER, 5));
     loop.pass(LEASE_DURATION_S);
-    assertFalse(leaseGrants.tryGrant(HOLDER, 5), "the clock of the holder may run slow");
+    assertFalse(
+        leaseGrants.tryGrant(HOLDER, 5),
+        "the lease may still be valid on the holder's clock, which may run slow");
     loop.pass(0.1);
     assertTrue(leaseGrants.tryGrant(HOLDER, 5));
   }
 
-  /** The lease was granted to incarnation x of n-1 for term 5, some seconds before this request. */
+  /** Requests the lease some seconds after it was granted to incarnation x of n-1 for term 5. */
   @ParameterizedTest
   @CsvSource({
     "1, n-1, x, 5, true",
@@ -67,7 +69,7 @@
     quorumLease.recordGrant("n-1", requestedAt - 5);
     assertTrue(
         loop.now() + LEASE_DURATION_S * 0.99 < quorumLease.validUntil(),
-        "a response to an earlier request takes nothing away");
+        "a response to an earlier request should not shorten the quorum lease");
     QuorumLease ofOneController = new QuorumLease(LEASE_DURATION_S, new Quorum(1));
     assertEquals(Double.POSITIVE_INFINITY, ofOneController.validUntil());
   }
--- a/src/test/java/org/saffronshore/leadership/SimulatedController.java
+++ b/src/test/java/org/saffronshore/leadership/SimulatedController.java
@@ -23,14 +23,13 @@
 import org.saffronshore.state.StateClient;
 
 /**
- * One process of a controller that takes part in elections, with its connections to the state
- * service and to its peers, which can be cut, and its event loop, which can be paused while the
- * clock runs on.
+ * A process of a controller that takes part in elections. Its connections to the state service and
+ * to its peers can be cut, and its event loop can be paused while the clock continues.
  */
 final class SimulatedController implements Leadership.Listener, PeerVoting, EventLoop {
   static final double LEASE_DURATION_S = TestData.LEASE_S / 5;
 
-  /** So long after the state service was available a leader knows enough of cancellations. */
+  /** For how long after its last access to the state service a leader may renew leases. */
   private static final double RENEWALS_ALLOWED_S = LEASE_DURATION_S * 5;
 
   private static final double MAX_MESSAGE_DELAY_S = 0.02;
@@ -54,9 +53,9 @@
   /**
    * Starts a controller.
    *
-   * @param random of the network
-   * @param controllers all that run; this one is added
-   * @param seed of the controller itself
+   * @param random the source of random message delays
+   * @param controllers all running controllers; this one is added
+   * @param seed the seed of this controller's own random numbers
    */
   SimulatedController(
       ManualEventLoop loop,
@@ -106,21 +105,21 @@
     return loop.schedule(seconds, () -> runUnlessPaused(overdueTimers, action));
   }
 
-  private void runUnlessPaused(List<Runnable> later, Runnable action) {
+  private void runUnlessPaused(List<Runnable> deferred, Runnable action) {
     if (paused) {
-      later.add(action);
+      deferred.add(action);
     } else if (!stopped) {
       action.run();
     }
   }
 
-  /** Messages that arrived in the pause are read first, and then the timers that are due fire. */
+  /** Ends a pause. Messages that arrived meanwhile are read first, then the overdue timers fire. */
   void resume() {
     paused = false;
-    for (List<Runnable> waiting : List.of(unreadMessages, overdueTimers)) {
-      List<Runnable> actions = List.copyOf(waiting);
-      waiting.clear();
-      actions.forEach(action -> runUnlessPaused(waiting, action));
+    for (List<Runnable> deferred : List.of(unreadMessages, overdueTimers)) {
+      List<Runnable> actions = List.copyOf(deferred);
+      deferred.clear();
+      actions.forEach(action -> runUnlessPaused(deferred, action));
     }
   }
 
@@ -138,7 +137,7 @@
         .toList();
   }
 
-  /** In place of the peer link: a leader renews the leases of its peers at intervals. */
+  /** Replaces the heartbeats between peers: an active leader renews its leases periodically. */
   private void sendHeartbeat() {
     if (isStateServiceAvailable()) {
       leadership.allowRenewalsUntil(loop.now() + RENEWALS_ALLOWED_S);
@@ -171,7 +170,7 @@
 
   @Override
   public void requestVotes(
-      long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotes) {
+      long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotesReceived) {
     long message = ++lastMessageNumber;
     List<Vote> votes = new ArrayList<>();
     Set<SimulatedController> missing = new HashSet<>(controllers);
@@ -183,7 +182,7 @@
         timedOut -> {
           if (!reported[0] && (timedOut || missing.isEmpty() || isDecided.test(votes))) {
             reported[0] = true;
-            onVotes.accept(votes);
+            onVotesReceived.accept(votes);
           }
         };
     for (SimulatedController peer : reachablePeers()) {
@@ -199,21 +198,23 @@
     }
     loop.schedule(
         0.001, () -> runUnlessPaused(unreadMessages, () -> reportIfDecided.accept(false)));
-    // Peers that became unreachable lately are waited for while their votes matter, so several
-    // candidates may campaign at the same time.
+    // The candidate waits for peers that became unreachable a short time ago while their votes
+    // matter, so several candidates may campaign at the same time.
     loop.schedule(
         LEASE_DURATION_S / 4,
         () -> runUnlessPaused(unreadMessages, () -> reportIfDecided.accept(true)));
     deliverDuplicateAfterProcessEnd(term);
   }
 
-  /** The request and the response are both delayed, and meanwhile others may request votes too. */
+  /**
+   * Delays both the request and the response. Other candidates may request votes in the meantime.
+   */
   private void requestVote(
-      SimulatedController peer, long term, long message, Consumer<Vote> onVote) {
+      SimulatedController peer, long term, long message, Consumer<Vote> onVoteReceived) {
     loop.schedule(
         MAX_MESSAGE_DELAY_S * random.nextDouble(),
         () -> {
-          // A message that was overtaken by a later one of the same process is ignored.
+          // Peers ignore a message if the process has sent a later one.
           if (message != lastMessageNumber) {
             return;
           }
@@ -222,11 +223,11 @@
           Vote vote = new Vote(peer.node, peer.leadership.incarnation(), peer.grantLease(request));
           loop.schedule(
               MAX_MESSAGE_DELAY_S * random.nextDouble(),
-              () -> runUnlessPaused(unreadMessages, () -> onVote.accept(vote)));
+              () -> runUnlessPaused(unreadMessages, () -> onVoteReceived.accept(vote)));
         });
   }
 
-  /** The network may deliver a copy of a request long after the process of the candidate ended. */
+  /** Delivers a copy of the request if the candidate's process has ended in the meantime. */
   private void deliverDuplicateAfterProcessEnd(long term) {
     double delayS = random.nextDouble() * LEASE_DURATION_S;
     for (SimulatedController peer : reachablePeers()) {
