--- a/src/main/java/org/saffronshore/leadership/Election.java
+++ b/src/main/java/org/saffronshore/leadership/Election.java
@@ -92,14 +92,14 @@
     int ownVotes = ownGranted ? 1 : 0;
     peerVoting.requestVotes(
         term,
-        votes -> hasLastLeaderProcessEnded(lastTerm, votes) || isVoteDecided(votes, ownVotes),
+        votes -> isLastLeaderProvablyInactive(lastTerm, votes) || isVoteDecided(votes, ownVotes),
         votes -> onVotesReceived(lastTerm, votes, ownVotes));
   }
 
   private void onVotesReceived(LastTerm lastTerm, List<PeerVoting.Vote> votes, int ownVotes) {
     long granted = countGranted(votes) + ownVotes;
     boolean firstTerm = lastTerm.number() == 0;
-    if (quorum.isMet(granted) || firstTerm || hasLastLeaderProcessEnded(lastTerm, votes)) {
+    if (quorum.isMet(granted) || firstTerm || isLastLeaderProvablyInactive(lastTerm, votes)) {
       claimNextTerm(lastTerm);
       return;
     }
@@ -137,7 +137,7 @@
    * Returns whether the process that led last does not act any more: another incarnation of its
    * controller has just voted, or it was a process of this controller, which is not leading now.
    */
-  private boolean hasLastLeaderProcessEnded(LastTerm lastTerm, List<PeerVoting.Vote> votes) {
+  private boolean isLastLeaderProvablyInactive(LastTerm lastTerm, List<PeerVoting.Vote> votes) {
     return self.node().equals(lastTerm.node())
         || votes.stream()
             .anyMatch(
