--- a/src/main/java/org/saffronshore/leadership/RetryDelays.java
+++ b/src/main/java/org/saffronshore/leadership/RetryDelays.java
@@ -8,13 +8,13 @@
    * The mean delay is the duration of the lease divided by this. It is long compared with a round
    * of votes, so that one candidate usually completes its round ahead of the others.
    */
-  private static final double MEAN_DELAYS_PER_LEASE = 10;
+  private static final double MEAN_DELAY_DIVISOR = 10;
 
   /** Delays are uniformly distributed from 0.5 to 1.5 times the mean. */
   private static final double MIN_DELAY_FACTOR = 0.5;
 
   private static final double REVOCATION_DELAY_FACTOR = 1.0 / 4;
-  private static final double MAX_KEY_CHANGE_DELAYS_PER_LEASE = 20;
+  private static final double MAX_KEY_CHANGE_DELAY_DIVISOR = 20;
 
   private final RandomGenerator random;
   private final double leaseDurationS;
@@ -26,7 +26,7 @@
 
   /** Returns the delay before the leader key is read again, which precedes the next campaign. */
   double nextRetryS() {
-    return leaseDurationS / MEAN_DELAYS_PER_LEASE * (MIN_DELAY_FACTOR + random.nextDouble());
+    return leaseDurationS / MEAN_DELAY_DIVISOR * (MIN_DELAY_FACTOR + random.nextDouble());
   }
 
   /** Returns the delay after the lease of an earlier incarnation of this controller was revoked. */
@@ -36,6 +36,6 @@
 
   /** Returns the delay after the leader key was set or removed. */
   double afterKeyChangeS() {
-    return random.nextDouble() * leaseDurationS / MAX_KEY_CHANGE_DELAYS_PER_LEASE;
+    return random.nextDouble() * leaseDurationS / MAX_KEY_CHANGE_DELAY_DIVISOR;
   }
 }
