--- a/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
+++ b/src/main/java/org/saffronshore/leadership/StateServiceVoting.java
@@ -137,16 +137,17 @@
 
   private void scheduleVoteRead(
       VoteRequest request,
-      int read,
+      int readNumber,
       Predicate<Set<String>> isQuorum,
       Consumer<Set<String>> onVotersKnown) {
     loop.schedule(
-        roundDurationS / READS_PER_ROUND, () -> readVotes(request, read, isQuorum, onVotersKnown));
+        roundDurationS / READS_PER_ROUND,
+        () -> readVotes(request, readNumber, isQuorum, onVotersKnown));
   }
 
   private void readVotes(
       VoteRequest request,
-      int read,
+      int readNumber,
       Predicate<Set<String>> isQuorum,
       Consumer<Set<String>> onVotersKnown) {
     state.list(
@@ -154,10 +155,10 @@
         RequestPriority.VITAL,
         votes -> {
           Set<String> voters = votes.map(listing -> votersFor(request, listing)).orElse(Set.of());
-          if (isQuorum.test(voters) || read >= READS_PER_ROUND) {
+          if (isQuorum.test(voters) || readNumber >= READS_PER_ROUND) {
             onVotersKnown.accept(voters);
           } else {
-            scheduleVoteRead(request, read + 1, isQuorum, onVotersKnown);
+            scheduleVoteRead(request, readNumber + 1, isQuorum, onVotersKnown);
           }
         });
   }
--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -164,8 +164,8 @@
   }
 
   /**
-   * A request for votes that is committed late must not replace a later request, and a vote that is
-   * committed late must not count once its request was replaced.
+   * A request for votes that the state service receives late must not replace a later request, and
+   * a late vote must not replace a vote for a later request.
    */
   @Test
   void lateVoteRequestsAndLateVotesAreNotCommitted() {
