--- a/src/main/java/org/saffronshore/leadership/CampaignOutcome.java
+++ b/src/main/java/org/saffronshore/leadership/CampaignOutcome.java
@@ -15,8 +15,9 @@
       implements CampaignOutcome {}
 
   /**
-   * The campaign was lost. Votes of peers have been withdrawn if they did not make a quorum. If a
-   * store lease was created, its revocation has been answered or has timed out.
+   * The campaign was lost. Votes requested directly from the peers have been withdrawn if they did
+   * not make a quorum; other votes last until they expire. If a store lease was created, its
+   * revocation has been answered or has timed out.
    */
   record Lost(Reason reason) implements CampaignOutcome {}
 
