--- a/src/main/java/org/saffronshore/failover/CancellationHorizon.java
+++ b/src/main/java/org/saffronshore/failover/CancellationHorizon.java
@@ -21,7 +21,7 @@
    * The share of the cancellation deadline for which a read counts as fresh: several times as long
    * as a watch on the jobs is held open.
    */
-  private static final double FRESH_SHARE = 1.0 / 6;
+  private static final double FRESH_READ_FRACTION = 1.0 / 6;
 
   private final Settings settings;
   private final Map<String, Double> peerHorizons = new HashMap<>();
@@ -76,6 +76,7 @@
         settings.cancellationDeadlineS()
             - Settings.maxLocalDuration(settings.workerLeaseS())
             - settings.heartbeatIntervalS();
-    return horizon() + Math.max(settings.cancellationDeadlineS() * FRESH_SHARE, afterLeaseExpiryS);
+    return horizon()
+        + Math.max(settings.cancellationDeadlineS() * FRESH_READ_FRACTION, afterLeaseExpiryS);
   }
 }
--- a/src/main/java/org/saffronshore/failover/CancellationTracker.java
+++ b/src/main/java/org/saffronshore/failover/CancellationTracker.java
@@ -50,7 +50,8 @@
   }
 
   /** See {@link Failover#peerReportedCancellations}. */
-  void peerReported(String peer, double requestedAt, double completeSince, List<String> jobs) {
+  void peerReportedCancellations(
+      String peer, double requestedAt, double completeSince, List<String> jobs) {
     if (!term.isLoaded()) {
       return;
     }
--- a/src/main/java/org/saffronshore/failover/Failover.java
+++ b/src/main/java/org/saffronshore/failover/Failover.java
@@ -111,7 +111,7 @@
    */
   public void peerReportedCancellations(
       String peer, double requestedAt, double completeSince, List<String> jobs) {
-    cancellations.peerReported(peer, requestedAt, completeSince, jobs);
+    cancellations.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
   }
 
   /** As of when all cancellations in the state service are known; negative infinity at first. */
--- a/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
+++ b/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
@@ -29,10 +29,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(FinishedTasksStore.class);
 
   /** What an entry takes beside its bits. */
-  private static final int NAME_BYTES = 64;
+  private static final int ENTRY_OVERHEAD_BYTES = 64;
 
   /** Task indexes per byte of base64. */
-  private static final int BITS_PER_BASE64_BYTE = 6;
+  private static final int BITS_PER_BASE64_CHAR = 6;
 
   private final TermTransactions transactions;
   private final Cluster cluster;
@@ -41,7 +41,7 @@
   /** Chunks of jobs so large that values are too short for a chunk of the standard length. */
   private final PagedRecords shortChunks;
 
-  private final int shortLength;
+  private final int shortChunkLength;
   private boolean writeInFlight;
   private boolean shortChunksFirst;
 
@@ -49,15 +49,15 @@
     this.transactions = transactions;
     this.cluster = cluster;
     PageLimits limits = PageLimits.of(settings);
-    this.shortLength = shortLength(limits.maxBytes());
+    this.shortChunkLength = shortChunkLength(limits.maxBytes());
     this.shortChunks = new PagedRecords(Keys.FINISHED_TASKS_SHORT_CHUNKS, limits);
     this.standardChunks = new PagedRecords(Keys.FINISHED_TASKS, limits);
   }
 
   /** The longest chunk that fits into a page; the standard length where that does. */
-  private static int shortLength(int maxBytes) {
+  private static int shortChunkLength(int maxBytes) {
     int length = FinishedTasksChunk.STANDARD_LENGTH;
-    while (length > Byte.SIZE && length / BITS_PER_BASE64_BYTE + NAME_BYTES > maxBytes) {
+    while (length > Byte.SIZE && length / BITS_PER_BASE64_CHAR + ENTRY_OVERHEAD_BYTES > maxBytes) {
       length /= 2;
     }
     return length;
@@ -78,7 +78,7 @@
                 finishedTasks,
                 name,
                 value,
-                stored -> FinishedTasksChunk.parseShort(stored, shortLength)));
+                stored -> FinishedTasksChunk.parseShort(stored, shortChunkLength)));
     return finishedTasks;
   }
 
@@ -103,7 +103,7 @@
   /** Drops the entries of jobs that are not open any more. */
   void retainOpenJobs() {
     for (PagedRecords records : List.of(standardChunks, shortChunks)) {
-      for (String name : new ArrayList<>(records.names())) {
+      for (String name : new ArrayList<>(records.entryNames())) {
         if (cluster.job(FinishedTasksChunk.jobOf(name)) == null) {
           records.remove(name);
         }
@@ -120,8 +120,8 @@
         number++) {
       standardChunks.remove(FinishedTasksChunk.entryName(job, number));
     }
-    if (shortLength < FinishedTasksChunk.STANDARD_LENGTH) {
-      shortChunks.names().stream()
+    if (shortChunkLength < FinishedTasksChunk.STANDARD_LENGTH) {
+      shortChunks.entryNames().stream()
           .filter(name -> name.startsWith(job + "/"))
           .toList()
           .forEach(shortChunks::remove);
@@ -129,7 +129,7 @@
   }
 
   /** All finished tasks of a job, and the names of the entries that hold the unsaved ones. */
-  private record UnsavedTasks(BitSet finishedTasks, Set<String> entries) {}
+  private record UnsavedTasks(BitSet finishedTasks, Set<String> entryNames) {}
 
   /** Writes the tasks that have finished since the last write, unless one is in flight. */
   void save() {
@@ -140,7 +140,7 @@
     for (Job job : cluster.jobsWithUnsavedTasks()) {
       if (!job.isComplete()) {
         BitSet finishedTasks = (BitSet) job.finishedTasks().clone();
-        saving.put(job, new UnsavedTasks(finishedTasks, putChangedChunks(job, finishedTasks)));
+        saving.put(job, new UnsavedTasks(finishedTasks, putUnsavedChunks(job, finishedTasks)));
       }
     }
     Transaction transaction = transactions.begin();
@@ -148,7 +148,7 @@
     if (batch.isEmpty()) {
       return;
     }
-    saving.values().removeIf(unsaved -> !unsaved.entries.stream().allMatch(batch::contains));
+    saving.values().removeIf(unsaved -> !unsaved.entryNames.stream().allMatch(batch::contains));
     writeInFlight = true;
     transactions.commitPages(
         transaction,
@@ -173,15 +173,16 @@
   }
 
   /** Enters the chunks that hold tasks which are not saved yet; returns the entries' names. */
-  private Set<String> putChangedChunks(Job job, BitSet finishedTasks) {
+  private Set<String> putUnsavedChunks(Job job, BitSet finishedTasks) {
     Set<String> names = new LinkedHashSet<>();
     BitSet unsaved = (BitSet) finishedTasks.clone();
     unsaved.andNot(job.savedFinishedTasks());
     // Earlier versions read only chunks of the standard length; one holds all tasks of all but the
     // largest jobs.
     boolean isShort =
-        shortLength < FinishedTasksChunk.STANDARD_LENGTH && job.spec().tasks() > shortLength;
-    int length = isShort ? shortLength : FinishedTasksChunk.STANDARD_LENGTH;
+        shortChunkLength < FinishedTasksChunk.STANDARD_LENGTH
+            && job.spec().tasks() > shortChunkLength;
+    int length = isShort ? shortChunkLength : FinishedTasksChunk.STANDARD_LENGTH;
     PagedRecords records = isShort ? shortChunks : standardChunks;
     int task = unsaved.nextSetBit(0);
     while (task >= 0) {
--- a/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
+++ b/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
@@ -72,11 +72,11 @@
         RequestPriority.VITAL,
         result -> {
           job.outcomeWriteInFlight(false);
-          doneSaved(id, endedAtMs, result);
+          doneCommitCompleted(id, endedAtMs, result);
         });
   }
 
-  private void doneSaved(String id, long endedAtMs, CommitResult result) {
+  private void doneCommitCompleted(String id, long endedAtMs, CommitResult result) {
     if (result.isCommitted()) {
       LOG.debug("Job is done: job={}", id);
       store.recordOutcome(id, JobStatus.DONE);
--- a/src/main/java/org/saffronshore/failover/LaunchWatermarkStore.java
+++ b/src/main/java/org/saffronshore/failover/LaunchWatermarkStore.java
@@ -31,7 +31,7 @@
    * The most writes in a heartbeat interval: launches wait for them, and each spends the budget of
    * all controllers.
    */
-  private static final double WRITES_PER_HEARTBEAT_INTERVAL = 40;
+  private static final double MAX_WRITES_PER_HEARTBEAT_INTERVAL = 40;
 
   private final EventLoop loop;
   private final TermTransactions transactions;
@@ -59,7 +59,7 @@
     this.cluster = cluster;
     this.dueWork = dueWork;
     this.records = new PagedRecords(Keys.LAUNCH_WATERMARKS, PageLimits.of(settings));
-    this.minWriteIntervalS = settings.heartbeatIntervalS() / WRITES_PER_HEARTBEAT_INTERVAL;
+    this.minWriteIntervalS = settings.heartbeatIntervalS() / MAX_WRITES_PER_HEARTBEAT_INTERVAL;
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
@@ -84,7 +84,7 @@
 
   /** Drops the entries of jobs that are not open any more. */
   void retainOpenJobs() {
-    for (String job : new ArrayList<>(records.names())) {
+    for (String job : new ArrayList<>(records.entryNames())) {
       if (cluster.job(job) == null) {
         records.remove(job);
       }
@@ -116,10 +116,10 @@
     saving.keySet().removeIf(job -> !batch.contains(job.spec().id()));
     writeInFlight = true;
     nextWriteAt = now + minWriteIntervalS;
-    transactions.commitPages(transaction, batch, written -> completed(saving, written));
+    transactions.commitPages(transaction, batch, written -> writeCompleted(saving, written));
   }
 
-  private void completed(Map<Job, Integer> saving, boolean written) {
+  private void writeCompleted(Map<Job, Integer> saving, boolean written) {
     writeInFlight = false;
     if (written) {
       saving.forEach(cluster::launchWatermarkSaved);
--- a/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
+++ b/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
@@ -90,7 +90,7 @@
     }
     List<Machine> saving = added.stream().filter(machine -> batch.contains(machine.id())).toList();
     writeInFlight = true;
-    transactions.commitPages(transaction, batch, written -> completed(saving, written));
+    transactions.commitPages(transaction, batch, written -> writeCompleted(saving, written));
   }
 
   /** Enters what has changed into the pages; returns the machines that are to be registered. */
@@ -116,7 +116,7 @@
     machine.attempts().forEach(attempt -> tasks.add(attempt.task()));
     MachineRegistryEntry entry = MachineRegistryEntry.holdsAtMost(loop.wallClockMs(), tasks);
     // In place or not at all: it must not be missing for a moment.
-    boolean replaced = records.replace(machine.id(), entry.toJson());
+    boolean replaced = records.replaceInPlace(machine.id(), entry.toJson());
     LOG.debug(
         "Registering possible tasks of cordoned machine: machine={} tasks={} replaced={}",
         machine.id(),
@@ -124,7 +124,7 @@
         replaced);
   }
 
-  private void completed(List<Machine> saving, boolean written) {
+  private void writeCompleted(List<Machine> saving, boolean written) {
     writeInFlight = false;
     if (written) {
       registry.markRegistered(saving);
--- a/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -34,7 +34,7 @@
   private final JobRemoval jobRemoval;
   private final CancellationTracker cancellations;
   private final Runnable dueWork;
-  private final double maxWatchS;
+  private final double maxWatchWaitS;
   private final double retryDelayS;
 
   /**
@@ -58,7 +58,7 @@
     this.jobRemoval = jobRemoval;
     this.cancellations = cancellations;
     this.dueWork = dueWork;
-    this.maxWatchS = settings.cancellationDeadlineS() / 20;
+    this.maxWatchWaitS = settings.cancellationDeadlineS() / 20;
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
@@ -67,7 +67,7 @@
       Listing openJobs, Map<String, BitSet> finishedTasks, Map<String, Integer> launchWatermarks) {
     for (StoredEntry entry : openJobs.entries()) {
       String id = Keys.idOf(entry.key());
-      add(
+      addJob(
           entry.key(),
           entry.value(),
           entry.version(),
@@ -77,11 +77,11 @@
   }
 
   /** A job that was accepted after the term began: no other leader can have launched any of it. */
-  private void addNew(String key, JsonNode value, long version) {
-    add(key, value, version, new BitSet(), 0);
+  private void addNewJob(String key, JsonNode value, long version) {
+    addJob(key, value, version, new BitSet(), 0);
   }
 
-  private void add(
+  private void addJob(
       String key, JsonNode value, long version, BitSet finishedTasks, int launchWatermark) {
     try {
       JobRecord job = JobRecord.parse(value);
@@ -103,7 +103,7 @@
     state.watch(
         Keys.OPEN_JOBS,
         revision,
-        maxWatchS,
+        maxWatchWaitS,
         result -> {
           if (term.hasEnded()) {
             return;
@@ -123,7 +123,7 @@
   private void apply(List<WatchResult.Event> events) {
     for (WatchResult.Event event : events) {
       if (event.value() != null) {
-        addNew(event.key(), event.value(), event.version());
+        addNewJob(event.key(), event.value(), event.version());
       } else {
         jobRemoval.remove(Keys.idOf(event.key()));
       }
@@ -147,18 +147,18 @@
             return;
           }
           Listing openJobs = listing.get();
-          replaceAll(openJobs.entries());
+          syncWithListing(openJobs.entries());
           cancellations.recordRead(requestedAt);
           watch(openJobs.revision());
           dueWork.run();
         });
   }
 
-  private void replaceAll(List<StoredEntry> openJobs) {
+  private void syncWithListing(List<StoredEntry> openJobs) {
     Set<String> ids = new HashSet<>();
     for (StoredEntry entry : openJobs) {
       ids.add(Keys.idOf(entry.key()));
-      addNew(entry.key(), entry.value(), entry.version());
+      addNewJob(entry.key(), entry.value(), entry.version());
     }
     for (Job job : new ArrayList<>(cluster.jobs())) {
       if (!ids.contains(job.spec().id())) {
--- a/src/main/java/org/saffronshore/failover/PageLimits.java
+++ b/src/main/java/org/saffronshore/failover/PageLimits.java
@@ -10,19 +10,19 @@
  */
 record PageLimits(int fillBytes, int maxBytes) {
   /** Pages are filled to about this length, where values may be that long. */
-  private static final int PAGE_BYTES = 4096;
+  private static final int DEFAULT_FILL_BYTES = 4096;
 
   private static final int BYTES_PER_KB = 1024;
 
   /** The share of the longest value to which short pages are filled. */
-  private static final double FILL_SHARE = 0.6;
+  private static final double FILL_FRACTION = 0.6;
 
   /** The share of the longest value to which pages may grow. */
-  private static final double MAX_SHARE = 0.9;
+  private static final double MAX_FRACTION = 0.9;
 
   static PageLimits of(Settings settings) {
     return new PageLimits(
-        (int) Math.min(PAGE_BYTES, settings.maxValueKb() * BYTES_PER_KB * FILL_SHARE),
-        (int) (settings.maxValueKb() * BYTES_PER_KB * MAX_SHARE));
+        (int) Math.min(DEFAULT_FILL_BYTES, settings.maxValueKb() * BYTES_PER_KB * FILL_FRACTION),
+        (int) (settings.maxValueKb() * BYTES_PER_KB * MAX_FRACTION));
   }
 }
--- a/src/main/java/org/saffronshore/failover/PagedRecords.java
+++ b/src/main/java/org/saffronshore/failover/PagedRecords.java
@@ -48,7 +48,7 @@
      * Pages that its entries were copied to, and that are not written yet: until then it stays as
      * it is.
      */
-    final Set<Page> copiedTo = new HashSet<>();
+    final Set<Page> unwrittenCopies = new HashSet<>();
 
     Page(String key) {
       this.key = key;
@@ -103,14 +103,14 @@
    */
   private void split(Page old) {
     for (Map.Entry<String, JsonNode> entry : List.copyOf(old.entries.entrySet())) {
-      int size = size(entry.getKey(), entry.getValue());
+      int size = entrySize(entry.getKey(), entry.getValue());
       if (size <= limits.maxBytes()) {
         old.entries.remove(entry.getKey());
         old.bytes -= size;
-        Page copy = pageWithRoom(size);
+        Page copy = findOrCreatePage(size);
         add(copy, entry.getKey(), entry.getValue());
         copy.dirty = true;
-        old.copiedTo.add(copy);
+        old.unwrittenCopies.add(copy);
       }
     }
     old.dirty = true;
@@ -121,10 +121,10 @@
    * pages.
    */
   boolean isSplitting() {
-    return pages.values().stream().anyMatch(page -> !page.copiedTo.isEmpty());
+    return pages.values().stream().anyMatch(page -> !page.unwrittenCopies.isEmpty());
   }
 
-  private static int size(String name, JsonNode value) {
+  private static int entrySize(String name, JsonNode value) {
     return name.length()
         + ENTRY_OVERHEAD_BYTES
         + (value.isTextual()
@@ -134,17 +134,17 @@
 
   private void add(Page page, String name, JsonNode value) {
     page.entries.put(name, value);
-    page.bytes += size(name, value);
+    page.bytes += entrySize(name, value);
     pagesByEntry.put(name, page);
   }
 
   /** Adds or replaces an entry; one that outgrows its page is moved to another one. */
   void put(String name, JsonNode value) {
-    if (replace(name, value)) {
+    if (replaceInPlace(name, value)) {
       return;
     }
     remove(name);
-    Page page = pageWithRoom(size(name, value));
+    Page page = findOrCreatePage(entrySize(name, value));
     add(page, name, value);
     page.dirty = true;
   }
@@ -153,9 +153,10 @@
    * Replaces an entry where it stands; false when there is none, or no room there for its new
    * value.
    */
-  boolean replace(String name, JsonNode value) {
+  boolean replaceInPlace(String name, JsonNode value) {
     Page page = pagesByEntry.get(name);
-    if (page == null || page.bytes - sizeOf(page, name) + size(name, value) > limits.maxBytes()) {
+    if (page == null
+        || page.bytes - currentEntrySize(page, name) + entrySize(name, value) > limits.maxBytes()) {
       return false;
     }
     remove(name);
@@ -163,16 +164,16 @@
     return true;
   }
 
-  private static int sizeOf(Page page, String name) {
+  private static int currentEntrySize(Page page, String name) {
     @Nullable JsonNode value = page.entries.get(name);
-    return value == null ? 0 : size(name, value);
+    return value == null ? 0 : entrySize(name, value);
   }
 
-  private Page pageWithRoom(int size) {
+  private Page findOrCreatePage(int size) {
     int unusedNumber = 0;
     for (Map.Entry<Integer, Page> numbered : pages.entrySet()) {
       Page page = numbered.getValue();
-      if (page.copiedTo.isEmpty()
+      if (page.unwrittenCopies.isEmpty()
           && (page.entries.isEmpty() || page.bytes + size <= limits.fillBytes())) {
         return page;
       }
@@ -186,31 +187,32 @@
   void remove(String name) {
     Page page = pagesByEntry.remove(name);
     if (page != null) {
-      page.bytes -= sizeOf(page, name);
+      page.bytes -= currentEntrySize(page, name);
       page.entries.remove(name);
       page.dirty = true;
     }
   }
 
   /** The names of all entries; a view, which changes with them. */
-  Set<String> names() {
+  Set<String> entryNames() {
     return pagesByEntry.keySet();
   }
 
   /**
    * Adds changed pages to a transaction, as far as it has room. The result of the transaction must
-   * be given to {@link Batch#completed}.
+   * be given to {@link Batch#writeCompleted}.
    */
-  Batch addTo(Transaction transaction, int maxWrites, int maxBytes) {
+  Batch addChangedPages(Transaction transaction, int maxWrites, int maxBytes) {
     Batch batch = new Batch();
     int bytes = 0;
     // A copy whose entries were all removed before it was ever written need not be.
     pages
         .values()
         .forEach(
-            page -> page.copiedTo.removeIf(copy -> copy.version == 0 && copy.entries.isEmpty()));
+            page ->
+                page.unwrittenCopies.removeIf(copy -> copy.version == 0 && copy.entries.isEmpty()));
     for (Page page : pages.values()) {
-      if (!isDue(page)) {
+      if (!isReadyToWrite(page)) {
         continue;
       }
       if (transaction.writeCount() >= maxWrites
@@ -231,10 +233,10 @@
     return batch;
   }
 
-  private boolean isDue(Page page) {
+  private boolean isReadyToWrite(Page page) {
     return page.dirty
         && !page.versionReadInFlight
-        && page.copiedTo.isEmpty()
+        && page.unwrittenCopies.isEmpty()
         && page.bytes <= limits.maxBytes()
         && (page.version != 0 || !page.entries.isEmpty());
   }
@@ -258,10 +260,10 @@
      * lost may yet be: it is repeated, and should the first have been carried out, the condition of
      * the repeat fails and shows that.
      */
-    boolean completed(StateClient state, CommitResult result) {
+    boolean writeCompleted(StateClient state, CommitResult result) {
       if (result.isCommitted()) {
         pages.forEach(page -> page.version = result.revision());
-        PagedRecords.this.pages.values().forEach(page -> page.copiedTo.removeAll(pages));
+        PagedRecords.this.pages.values().forEach(page -> page.unwrittenCopies.removeAll(pages));
         return true;
       }
       for (Page page : pages) {
--- a/src/main/java/org/saffronshore/failover/TermTransactions.java
+++ b/src/main/java/org/saffronshore/failover/TermTransactions.java
@@ -34,7 +34,7 @@
 
   /** Adds the changed pages to a transaction, as far as it has room. */
   PagedRecords.Batch addChangedPages(Transaction transaction, PagedRecords records) {
-    return records.addTo(transaction, maxWrites, MAX_TRANSACTION_BYTES);
+    return records.addChangedPages(transaction, maxWrites, MAX_TRANSACTION_BYTES);
   }
 
   /**
@@ -66,7 +66,7 @@
         transaction,
         RequestPriority.VITAL,
         result -> {
-          boolean written = batch.completed(state, result);
+          boolean written = batch.writeCompleted(state, result);
           if (term.hasEnded()) {
             return;
           }
--- a/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -27,13 +27,13 @@
 
   private boolean write(PagedRecords source) {
     Transaction transaction = new Transaction();
-    PagedRecords.Batch batch = source.addTo(transaction, 8, 1000);
+    PagedRecords.Batch batch = source.addChangedPages(transaction, 8, 1000);
     boolean[] written = new boolean[1];
     if (!batch.isEmpty()) {
       state.commit(
           transaction,
           RequestPriority.VITAL,
-          result -> written[0] = batch.completed(state, result));
+          result -> written[0] = batch.writeCompleted(state, result));
       loop.pass(2);
     }
     return written[0];
@@ -81,10 +81,10 @@
     long large = 1_000_000_000_000_000L;
     int replaced = 0;
     for (int i = 0; i < 5; i++) {
-      replaced += records.replace("host-" + i, LongNode.valueOf(large)) ? 1 : 0;
+      replaced += records.replaceInPlace("host-" + i, LongNode.valueOf(large)) ? 1 : 0;
     }
     assertEquals(4, replaced, "5 of 11 bytes, each longer by 15, in 120");
-    assertFalse(records.replace("host-9", LongNode.valueOf(1)));
+    assertFalse(records.replaceInPlace("host-9", LongNode.valueOf(1)));
     assertTrue(write(records));
     assertEquals(0, service.version("r/1"));
     assertEquals(4L, stored().values().stream().filter(v -> v == large).count());
@@ -136,9 +136,9 @@
   @Test
   void writeOfUnknownOutcomeIsRepeated() {
     records.put("host-1", LongNode.valueOf(1));
-    PagedRecords.Batch batch = records.addTo(new Transaction(), 8, 1000);
+    PagedRecords.Batch batch = records.addChangedPages(new Transaction(), 8, 1000);
     assertFalse(
-        batch.completed(state, new CommitResult(CommitResult.Outcome.UNKNOWN, 0, Set.of())));
+        batch.writeCompleted(state, new CommitResult(CommitResult.Outcome.UNKNOWN, 0, Set.of())));
     assertTrue(write(records));
     assertEquals(Map.of("host-1", 1L), stored());
   }
