--- a/src/main/java/org/saffronshore/failover/CancellationTracker.java
+++ b/src/main/java/org/saffronshore/failover/CancellationTracker.java
@@ -7,8 +7,8 @@
 import org.saffronshore.leadership.LeaderTerm;
 
 /**
- * Applies cancellations, whoever learns of them, to the cluster of one term, and allows the leader
- * to renew leases as far as all of them are known; see {@link CancellationHorizon}.
+ * Applies cancellations that this controller or a peer has learned of to the cluster of one term,
+ * and lets the leader renew leases for as long as {@link CancellationHorizon} allows.
  */
 final class CancellationTracker {
   private final EventLoop loop;
@@ -21,7 +21,7 @@
   /**
    * Creates the tracker of one term.
    *
-   * @param dueWork is run after a job is cancelled: its tasks are to be stopped
+   * @param dueWork run after a job is cancelled, to stop its tasks
    */
   CancellationTracker(
       EventLoop loop,
@@ -38,13 +38,17 @@
     this.horizon = new CancellationHorizon(settings);
   }
 
-  /** The open jobs were read from the state service, by a request of that moment. */
+  /**
+   * Records that the open jobs were read from the state service.
+   *
+   * @param requestedAt when the request was sent, in seconds on the event loop's clock
+   */
   void recordRead(double requestedAt) {
     horizon.recordRead(requestedAt);
     term.allowRenewalsUntil(horizon.renewalsAllowedUntil());
   }
 
-  /** As of when the open jobs were last read. */
+  /** See {@link Failover#cancellationsReadAt}. */
   double readAt() {
     return horizon.readAt();
   }
--- a/src/main/java/org/saffronshore/failover/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/failover/DependencyResolver.java
@@ -12,10 +12,10 @@
 import org.saffronshore.state.JobStore;
 
 /**
- * Reconciles what one term knows of the jobs that others depend on with the state service: their
- * outcomes are read, and the outcomes of jobs that are cancelled by dependency are written. Neither
- * is urgent: a dependency that is not known to be done keeps jobs waiting, and users are told of
- * cancellations without it.
+ * Synchronizes the outcomes of jobs in the dependency graph of one term with the state service: it
+ * reads the outcomes of dependencies that are not known yet, and writes the outcomes of jobs that
+ * are cancelled because a dependency was cancelled. Neither is urgent: jobs wait until their
+ * dependencies are known to be done, and users see such a cancellation before it is written.
  */
 final class DependencyResolver {
   private static final int MAX_WRITES_IN_FLIGHT = 8;
@@ -33,7 +33,7 @@
   /**
    * Creates the resolver of one term.
    *
-   * @param dueWork is run after outcomes were read: jobs may be ready
+   * @param dueWork run after outcomes were read, since jobs may have become ready
    */
   DependencyResolver(
       EventLoop loop,
@@ -52,7 +52,7 @@
     this.dueWork = dueWork;
   }
 
-  /** Starts the reads and writes that are due. */
+  /** Starts the reads and writes that are due, up to the limits of requests in flight. */
   void resolve() {
     List<String> unresolved = cluster.dependencies().unresolved();
     if (!readInFlight && !unresolved.isEmpty()) {
@@ -79,18 +79,18 @@
     for (Map.Entry<String, JobOutcome> entry : read.entrySet()) {
       changed |= apply(entry.getKey(), entry.getValue());
     }
-    // What could not be read is read again with the next round.
+    // Outcomes that could not be read are requested again by the next call of resolve().
     if (changed) {
       dueWork.run();
       resolve();
     }
   }
 
-  /** Whether the job has an outcome. */
+  /** Applies the outcome of a job to the cluster; returns whether the job has ended. */
   private boolean apply(String job, JobOutcome outcome) {
     return switch (outcome.status()) {
       case DONE -> {
-        // An outcome that an earlier version wrote does not hold its time.
+        // Outcomes written by earlier versions do not contain the end time.
         cluster.jobEnded(job, true, outcome.atMs() > 0 ? outcome.atMs() : loop.wallClockMs());
         yield true;
       }
--- a/src/main/java/org/saffronshore/failover/Failover.java
+++ b/src/main/java/org/saffronshore/failover/Failover.java
@@ -9,8 +9,8 @@
 import org.saffronshore.state.StateClient;
 
 /**
- * How one term takes over from the earlier ones and prepares for the next: it recovers the stored
- * state, follows the open jobs, and persists what the next leader has to know.
+ * Takes over from earlier terms and prepares for the next one: recovers the stored state, follows
+ * the open jobs, and persists what the next leader has to know. There is one instance per term.
  */
 public final class Failover {
   private final LeaderTerm term;
@@ -23,11 +23,11 @@
   private final TermRecovery recovery;
 
   /**
-   * Creates the parts for one term; nothing is read or written before {@link #start}.
+   * Creates the components for one term. Nothing is read or written before {@link #start}.
    *
-   * @param dueWork is run after a change that may have made commands, records or a scheduling cycle
+   * @param dueWork run after a change that may have made commands, records or a scheduling cycle
    *     due
-   * @param onRecovered is run once, when the stored state has been recovered
+   * @param onRecovered run once, when the stored state has been recovered
    */
   public Failover(
       EventLoop loop,
@@ -66,55 +66,68 @@
             onRecovered);
   }
 
-  /** Starts to recover the stored state, and follows the open jobs from then on. */
+  /** Starts recovering the stored state; follows the open jobs once it has been recovered. */
   public void start() {
     recovery.start();
   }
 
-  /** Writes everything that has to be persisted before something else may happen. */
+  /**
+   * Writes the records that other actions wait for: launch watermarks, the machine registry and the
+   * outcomes of completed jobs.
+   */
   public void saveDueRecords() {
     launchWatermarks.save();
     machineRegistry.save();
     outcomes.saveCompletedJobs();
   }
 
-  /** Writes the launch watermarks that placed tasks wait for. */
+  /** Writes the launch watermarks that must be persisted before placed tasks are launched. */
   public void saveLaunchWatermarks() {
     launchWatermarks.save();
   }
 
-  /** Writes which tasks have finished; to be called periodically. */
+  /** Writes the finished tasks of open jobs; must be called periodically. */
   public void saveFinishedTasks() {
     if (term.isLoaded()) {
       finishedTasks.save();
     }
   }
 
-  /** Reads and writes outcomes that dependencies call for; to be called periodically. */
+  /**
+   * Reads outcomes of dependencies, and writes outcomes of jobs cancelled by dependency; must be
+   * called periodically.
+   */
   public void resolveDependencies() {
     dependencies.resolve();
   }
 
   /**
-   * The state service has the job as cancelled, as this controller or a peer has read or written.
+   * Handles a job that is cancelled in the state service, according to a read or a write of this
+   * controller or a peer.
    */
   public void jobCancelled(String job) {
     cancellations.jobCancelled(job);
   }
 
   /**
-   * A peer has reported every cancellation that it learned of since a moment.
+   * Handles a peer's report of all cancellations that it learned of since some time.
    *
-   * @param requestedAt when the request to the peer was sent
-   * @param completeSince since when none is missing
-   * @param jobs the cancelled jobs
+   * @param peer the peer's node name
+   * @param requestedAt when the request to the peer was sent, in seconds on the event loop's clock
+   * @param completeSince the time since which no cancellation is missing in the report, in seconds
+   *     on the event loop's clock
+   * @param jobs the ids of the cancelled jobs
    */
   public void peerReportedCancellations(
       String peer, double requestedAt, double completeSince, List<String> jobs) {
     cancellations.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
   }
 
-  /** As of when all cancellations in the state service are known; negative infinity at first. */
+  /**
+   * Returns when the latest successful read of the open jobs was requested, in seconds on the event
+   * loop's clock: all cancellations that the state service had by then are known. Negative infinity
+   * before the first read.
+   */
   public double cancellationsReadAt() {
     return cancellations.readAt();
   }
--- a/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
+++ b/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
@@ -22,23 +22,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists which tasks of open jobs are finished, so that a change of leader does not run them
- * again.
+ * Persists which tasks of open jobs are finished, so that they are not run again after a change of
+ * leader.
  */
 final class FinishedTasksStore {
   private static final Logger LOG = LoggerFactory.getLogger(FinishedTasksStore.class);
 
-  /** What an entry takes beside its bits. */
+  /** The bytes of an entry that are reserved for everything except its bits. */
   private static final int ENTRY_OVERHEAD_BYTES = 64;
 
-  /** Task indexes per byte of base64. */
+  /** The number of task indexes that one character of Base64 encodes. */
   private static final int BITS_PER_BASE64_CHAR = 6;
 
   private final TermTransactions transactions;
   private final Cluster cluster;
   private final PagedRecords standardChunks;
 
-  /** Chunks of jobs so large that values are too short for a chunk of the standard length. */
+  /**
+   * Chunks shorter than the standard length, for large jobs where a chunk of the standard length
+   * exceeds the size limit of a stored value.
+   */
   private final PagedRecords shortChunks;
 
   private final int shortChunkLength;
@@ -54,7 +57,10 @@
     this.standardChunks = new PagedRecords(Keys.FINISHED_TASKS, limits);
   }
 
-  /** The longest chunk that fits into a page; the standard length where that does. */
+  /**
+   * Returns the chunk length, in task indexes, that fits into a page: the standard length, halved
+   * as often as necessary.
+   */
   private static int shortChunkLength(int maxBytes) {
     int length = FinishedTasksChunk.STANDARD_LENGTH;
     while (length > Byte.SIZE && length / BITS_PER_BASE64_CHAR + ENTRY_OVERHEAD_BYTES > maxBytes) {
@@ -65,7 +71,13 @@
 
   // Recovery
 
-  /** The finished tasks of each job, as earlier terms have stored them. */
+  /**
+   * Loads what earlier terms have stored.
+   *
+   * @param standard the pages of chunks of the standard length
+   * @param shorter the pages of shorter chunks
+   * @return the finished tasks of each job, by job id
+   */
   Map<String, BitSet> load(Listing standard, Listing shorter) {
     Map<String, BitSet> finishedTasks = new HashMap<>();
     standardChunks.load(
@@ -95,12 +107,12 @@
       String job = FinishedTasksChunk.jobOf(name);
       chunk.addTo(finishedTasks.computeIfAbsent(job, id -> new BitSet()), number);
     } catch (InvalidFieldException e) {
-      // The tasks run again; one whose result is kept ends at once when it is started again.
+      // These tasks run again. A task whose result is kept ends as soon as it is started again.
       LOG.error("Finished tasks are unreadable: entry={} reason={}", name, e.getMessage());
     }
   }
 
-  /** Drops the entries of jobs that are not open any more. */
+  /** Removes the entries of jobs that are no longer open. */
   void retainOpenJobs() {
     for (PagedRecords records : List.of(standardChunks, shortChunks)) {
       for (String name : new ArrayList<>(records.entryNames())) {
@@ -113,7 +125,7 @@
 
   // Writing
 
-  /** Drops the entries of a job that has ended. */
+  /** Removes the entries of a job that has ended. */
   void remove(String job) {
     for (int number = 0;
         number * FinishedTasksChunk.STANDARD_LENGTH < JobSpec.MAX_TASKS;
@@ -128,19 +140,20 @@
     }
   }
 
-  /** All finished tasks of a job, and the names of the entries that hold the unsaved ones. */
+  /** All finished tasks of a job, and the names of the entries that contain unsaved ones. */
   private record UnsavedTasks(BitSet finishedTasks, Set<String> entryNames) {}
 
-  /** Writes the tasks that have finished since the last write, unless one is in flight. */
+  /** Writes the tasks that have finished since the last write, unless a write is in flight. */
   void save() {
     if (writeInFlight) {
       return;
     }
-    Map<Job, UnsavedTasks> saving = new LinkedHashMap<>();
+    Map<Job, UnsavedTasks> unsavedByJob = new LinkedHashMap<>();
     for (Job job : cluster.jobsWithUnsavedTasks()) {
       if (!job.isComplete()) {
         BitSet finishedTasks = (BitSet) job.finishedTasks().clone();
-        saving.put(job, new UnsavedTasks(finishedTasks, putUnsavedChunks(job, finishedTasks)));
+        unsavedByJob.put(
+            job, new UnsavedTasks(finishedTasks, putUnsavedChunks(job, finishedTasks)));
       }
     }
     Transaction transaction = transactions.begin();
@@ -148,7 +161,9 @@
     if (batch.isEmpty()) {
       return;
     }
-    saving.values().removeIf(unsaved -> !unsaved.entryNames.stream().allMatch(batch::contains));
+    unsavedByJob
+        .values()
+        .removeIf(unsaved -> !unsaved.entryNames.stream().allMatch(batch::contains));
     writeInFlight = true;
     transactions.commitPages(
         transaction,
@@ -156,13 +171,16 @@
         written -> {
           writeInFlight = false;
           if (written) {
-            saving.forEach(
+            unsavedByJob.forEach(
                 (job, unsaved) -> cluster.finishedTasksSaved(job, unsaved.finishedTasks));
           }
         });
   }
 
-  /** Pages of one of both lengths, in turns should both have something to write. */
+  /**
+   * Adds changed pages with chunks of one length to the transaction. Both lengths take turns if
+   * both have changed pages.
+   */
   private PagedRecords.Batch addChangedPages(Transaction transaction) {
     shortChunksFirst = !shortChunksFirst;
     PagedRecords.Batch batch =
@@ -172,13 +190,13 @@
         : batch;
   }
 
-  /** Enters the chunks that hold tasks which are not saved yet; returns the entries' names. */
+  /** Puts the chunks that contain unsaved tasks into pages; returns the names of the entries. */
   private Set<String> putUnsavedChunks(Job job, BitSet finishedTasks) {
     Set<String> names = new LinkedHashSet<>();
     BitSet unsaved = (BitSet) finishedTasks.clone();
     unsaved.andNot(job.savedFinishedTasks());
-    // Earlier versions read only chunks of the standard length; one holds all tasks of all but the
-    // largest jobs.
+    // Earlier versions can read only chunks of the standard length, and one such chunk holds all
+    // tasks of all but the largest jobs. Short chunks are therefore used only for the largest jobs.
     boolean isShort =
         shortChunkLength < FinishedTasksChunk.STANDARD_LENGTH
             && job.spec().tasks() > shortChunkLength;
--- a/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
+++ b/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Commits the outcomes that the leader decides: jobs that are done, or cancelled by dependency. */
+/**
+ * Commits the outcomes that the leader decides: jobs that are done, and jobs that are cancelled
+ * because a dependency was cancelled.
+ */
 final class JobOutcomeWriter {
   private static final Logger LOG = LoggerFactory.getLogger(JobOutcomeWriter.class);
 
@@ -30,7 +33,7 @@
   /**
    * Creates the writer of one term.
    *
-   * @param dueWork is run after a job is done: others may be ready
+   * @param dueWork run after a job is done, since jobs that depend on it may have become ready
    */
   JobOutcomeWriter(
       EventLoop loop,
@@ -49,7 +52,7 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 6;
   }
 
-  /** Commits that complete jobs are done, before any user is told so. */
+  /** Commits the outcome of completed jobs. Users are told that a job is done only after that. */
   void saveCompletedJobs() {
     if (cluster.completedJobs().isEmpty() || loop.now() < retryAt) {
       return;
@@ -84,19 +87,20 @@
       jobRemoval.remove(id);
       dueWork.run();
     } else {
-      // Its user cancelled it, or an earlier try of ours was carried out, which the watch will
-      // bring; or the state service is away, and a try with every heartbeat would only add to its
-      // load.
+      // Either the user cancelled the job, or an earlier write by this leader was executed; the
+      // watch on the open jobs will report that. Or the state service is unavailable, and a retry
+      // with every heartbeat would only add to its load.
       retryAt = loop.now() + retryDelayS;
     }
   }
 
   /**
-   * Commits that a job is cancelled since a job that it depends on is; users are told so already.
+   * Commits that a job is cancelled because a job that it depends on is cancelled. Users see the
+   * job as cancelled even before that.
    *
-   * @param then is run when the result is there, unless the term has ended by then
+   * @param callback run when the result is received, unless the term has ended by then
    */
-  void saveCancelled(Job job, Runnable then) {
+  void saveCancelled(Job job, Runnable callback) {
     String id = job.spec().id();
     Transaction transaction =
         new JobOutcome(JobStatus.CANCELLED, loop.wallClockMs())
@@ -108,7 +112,7 @@
           if (result.isCommitted()) {
             store.recordOutcome(id, JobStatus.CANCELLED);
           }
-          then.run();
+          callback.run();
         });
   }
 }
--- a/src/main/java/org/saffronshore/failover/JobRemoval.java
+++ b/src/main/java/org/saffronshore/failover/JobRemoval.java
@@ -2,7 +2,9 @@
 
 import org.saffronshore.cluster.Cluster;
 
-/** Removes jobs that are not open any more from the cluster and from the records of their tasks. */
+/**
+ * Removes jobs that are no longer open from the cluster and from the stored records of their tasks.
+ */
 final class JobRemoval {
   private final Cluster cluster;
   private final LaunchWatermarkStore launchWatermarks;
--- a/src/main/java/org/saffronshore/failover/LaunchWatermarkStore.java
+++ b/src/main/java/org/saffronshore/failover/LaunchWatermarkStore.java
@@ -19,17 +19,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists how far the tasks of each open job may have been launched. A task is launched only once
- * the state service has the watermark, so that a next leader that cannot find some machines still
- * knows which tasks cannot be there. A watermark is written with the first tasks of a job, and then
- * for twice as many each time.
+ * Persists the launch watermark of each open job: only tasks below it may have been launched. A
+ * task is launched only after the state service has confirmed a watermark above its index, so that
+ * the next leader knows which tasks cannot be on machines that it does not find. A watermark is
+ * first written for the first tasks of a job; each further write at least doubles it, up to the
+ * number of tasks.
  */
 final class LaunchWatermarkStore {
   private static final Logger LOG = LoggerFactory.getLogger(LaunchWatermarkStore.class);
 
   /**
-   * The most writes in a heartbeat interval: launches wait for them, and each spends the budget of
-   * all controllers.
+   * The maximum number of writes per heartbeat interval. Launches wait for these writes, but each
+   * of them counts against the request budget of all controllers.
    */
   private static final double MAX_WRITES_PER_HEARTBEAT_INTERVAL = 40;
 
@@ -46,7 +47,7 @@
   /**
    * Creates the store of one term.
    *
-   * @param dueWork is run after a write: tasks may be launched
+   * @param dueWork run after a successful write, since placed tasks may now be launched
    */
   LaunchWatermarkStore(
       EventLoop loop,
@@ -63,7 +64,7 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
-  /** The watermark of each job, as earlier terms have stored it. */
+  /** Loads what earlier terms have stored; returns the launch watermark of each job, by job id. */
   Map<String, Integer> load(Listing stored) {
     Map<String, Integer> watermarks = new HashMap<>();
     records.load(
@@ -72,7 +73,10 @@
     return watermarks;
   }
 
-  /** One that cannot be read proves nothing: every task may have been launched. */
+  /**
+   * Parses a stored watermark. If it is unreadable, every task may have been launched, so the
+   * maximum is returned.
+   */
   private static int parseWatermark(String job, JsonNode stored) {
     try {
       return LaunchWatermarkEntry.parse(stored).watermark();
@@ -82,7 +86,7 @@
     }
   }
 
-  /** Drops the entries of jobs that are not open any more. */
+  /** Removes the entries of jobs that are no longer open. */
   void retainOpenJobs() {
     for (String job : new ArrayList<>(records.entryNames())) {
       if (cluster.job(job) == null) {
@@ -91,21 +95,24 @@
     }
   }
 
-  /** Drops the entry of a job that has ended. */
+  /** Removes the entry of a job that has ended. */
   void remove(String job) {
     records.remove(job);
   }
 
-  /** Writes the watermarks that placed tasks wait for, unless a write is in flight. */
+  /**
+   * Writes the watermarks that placed tasks wait for, unless a write is in flight or the last one
+   * was too recent.
+   */
   void save() {
     double now = loop.now();
     if (writeInFlight || now < nextWriteAt || cluster.jobsAwaitingLaunchWatermark().isEmpty()) {
       return;
     }
-    Map<Job, Integer> saving = new LinkedHashMap<>();
+    Map<Job, Integer> watermarks = new LinkedHashMap<>();
     for (Job job : cluster.jobsAwaitingLaunchWatermark()) {
       int watermark = job.requestedLaunchWatermark();
-      saving.put(job, watermark);
+      watermarks.put(job, watermark);
       records.put(job.spec().id(), new LaunchWatermarkEntry(watermark).toJson());
     }
     Transaction transaction = transactions.begin();
@@ -113,16 +120,16 @@
     if (batch.isEmpty()) {
       return;
     }
-    saving.keySet().removeIf(job -> !batch.contains(job.spec().id()));
+    watermarks.keySet().removeIf(job -> !batch.contains(job.spec().id()));
     writeInFlight = true;
     nextWriteAt = now + minWriteIntervalS;
-    transactions.commitPages(transaction, batch, written -> writeCompleted(saving, written));
+    transactions.commitPages(transaction, batch, written -> writeCompleted(watermarks, written));
   }
 
-  private void writeCompleted(Map<Job, Integer> saving, boolean written) {
+  private void writeCompleted(Map<Job, Integer> watermarks, boolean written) {
     writeInFlight = false;
     if (written) {
-      saving.forEach(cluster::launchWatermarkSaved);
+      watermarks.forEach(cluster::launchWatermarkSaved);
       dueWork.run();
     } else {
       nextWriteAt = loop.now() + retryDelayS;
--- a/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
+++ b/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
@@ -18,10 +18,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists which machines may hold tasks. A machine gets tasks only once it is registered: a next
- * leader must reconcile it. Of one whose heartbeats stop, the tasks that it may hold are written
- * instead, and it gets nothing until it is registered again; so should the leader change then, only
- * these tasks must wait for the machine, and not all.
+ * Persists which machines may hold tasks. A machine receives tasks only after it is registered, so
+ * that the next leader knows that it must reconcile the machine. When the heartbeats of a machine
+ * stop, its entry is replaced by the list of tasks that it may hold, and it receives no tasks until
+ * it is registered again. If the leader changes in the meantime, only these tasks must wait for the
+ * machine, instead of all tasks.
  */
 final class MachineRegistryStore {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistryStore.class);
@@ -40,7 +41,7 @@
   /**
    * Creates the store of one term.
    *
-   * @param dueWork is run after a write: machines may get tasks
+   * @param dueWork run after a successful write, since newly registered machines may receive tasks
    */
   MachineRegistryStore(
       EventLoop loop,
@@ -57,50 +58,52 @@
     this.records = new PagedRecords(Keys.MACHINE_REGISTRY, PageLimits.of(settings));
   }
 
-  /** Adds all machines to the cluster that earlier terms have registered. */
+  /** Adds all machines registered by earlier terms to the cluster. */
   void load(Listing stored) {
     Set<String> seen = new HashSet<>();
     records.load(
         stored.entries(),
         (machine, value) -> {
-          // While a page is split an entry may stand twice, and nothing tells which is the newer
-          // one: then the machine may hold anything.
-          boolean once = seen.add(machine);
+          // While a page is being split, an entry may be stored twice, and the newer one cannot be
+          // determined. In that case the machine may hold any task.
+          boolean isFirst = seen.add(machine);
           MachineRegistryEntry entry = MachineRegistryEntry.parse(value);
           double ageS = (loop.wallClockMs() - entry.writtenAtMs()) / MS_PER_S;
           cluster.addRegistered(
               machine,
               ageS - 2 * settings.maxClockOffsetS(),
-              once ? entry.possibleTasks().<Set<TaskId>>map(HashSet::new).orElse(null) : null);
+              isFirst ? entry.possibleTasks().<Set<TaskId>>map(HashSet::new).orElse(null) : null);
         });
   }
 
-  /** Writes what has changed, unless a write is in flight. */
+  /** Writes the changes of the registry, unless a write is in flight or was tried too recently. */
   void save() {
     if (writeInFlight
         || loop.now() < retryAt
         || (!registry.hasPendingWrites() && !records.isSplitting())) {
       return;
     }
-    List<Machine> added = putChanges();
+    List<Machine> toRegister = putChanges();
     Transaction transaction = transactions.begin();
     PagedRecords.Batch batch = transactions.addChangedPages(transaction, records);
     if (batch.isEmpty()) {
       return;
     }
-    List<Machine> saving = added.stream().filter(machine -> batch.contains(machine.id())).toList();
+    List<Machine> machines =
+        toRegister.stream().filter(machine -> batch.contains(machine.id())).toList();
     writeInFlight = true;
-    transactions.commitPages(transaction, batch, written -> writeCompleted(saving, written));
+    transactions.commitPages(transaction, batch, written -> writeCompleted(machines, written));
   }
 
-  /** Enters what has changed into the pages; returns the machines that are to be registered. */
+  /** Applies the changes of the registry to the pages; returns the machines to be registered. */
   private List<Machine> putChanges() {
-    // Entries that are being moved are entered nowhere else meanwhile.
-    List<Machine> added = List.of();
+    // While entries are being moved between pages, none is added or replaced, so that a moved entry
+    // is not put into yet another page.
+    List<Machine> toRegister = List.of();
     if (!records.isSplitting()) {
       registry.takeCordonedMachines().forEach(this::putCordoned);
-      added = registry.unregisteredMachines();
-      added.forEach(
+      toRegister = registry.unregisteredMachines();
+      toRegister.forEach(
           machine ->
               records.put(
                   machine.id(), MachineRegistryEntry.mayHoldAnything(loop.wallClockMs()).toJson()));
@@ -108,14 +111,14 @@
     List<String> removed = new ArrayList<>(registry.removedMachines());
     removed.forEach(records::remove);
     removed.forEach(registry.removedMachines()::remove);
-    return added;
+    return toRegister;
   }
 
   private void putCordoned(Machine machine) {
     List<TaskId> tasks = new ArrayList<>();
     machine.attempts().forEach(attempt -> tasks.add(attempt.task()));
     MachineRegistryEntry entry = MachineRegistryEntry.holdsAtMost(loop.wallClockMs(), tasks);
-    // In place or not at all: it must not be missing for a moment.
+    // The entry is replaced in its page or not at all, since it must never be missing in between.
     boolean replaced = records.replaceInPlace(machine.id(), entry.toJson());
     LOG.debug(
         "Registering possible tasks of cordoned machine: machine={} tasks={} replaced={}",
@@ -124,10 +127,10 @@
         replaced);
   }
 
-  private void writeCompleted(List<Machine> saving, boolean written) {
+  private void writeCompleted(List<Machine> machines, boolean written) {
     writeInFlight = false;
     if (written) {
-      registry.markRegistered(saving);
+      registry.markRegistered(machines);
       dueWork.run();
     } else {
       retryAt = loop.now() + settings.heartbeatIntervalS() / 10;
--- a/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -23,7 +23,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps one term's cluster in line with the open jobs of the state service. */
+/** Keeps the cluster of one term consistent with the open jobs in the state service. */
 final class OpenJobWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(OpenJobWatcher.class);
 
@@ -40,7 +40,7 @@
   /**
    * Creates the watcher of one term.
    *
-   * @param dueWork is run after jobs were added or removed
+   * @param dueWork run after jobs were added or removed
    */
   OpenJobWatcher(
       EventLoop loop,
@@ -62,7 +62,12 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
-  /** Adds the jobs that were open when the term began. */
+  /**
+   * Adds the jobs that were open when the term began.
+   *
+   * @param finishedTasks the stored finished tasks, by job id
+   * @param launchWatermarks the stored launch watermarks, by job id
+   */
   void load(
       Listing openJobs, Map<String, BitSet> finishedTasks, Map<String, Integer> launchWatermarks) {
     for (StoredEntry entry : openJobs.entries()) {
@@ -76,7 +81,7 @@
     }
   }
 
-  /** A job that was accepted after the term began: no other leader can have launched any of it. */
+  /** Adds a job accepted after the term began; no other leader can have launched its tasks. */
   private void addNewJob(String key, JsonNode value, long version) {
     addJob(key, value, version, new BitSet(), 0);
   }
@@ -92,8 +97,9 @@
   }
 
   /**
-   * Follows the changes after a revision for as long as the term lasts. Cancellations are decided
-   * by all controllers and become known here, so this must never lag for long.
+   * Watches the open jobs for changes after a revision, for as long as the term lasts. Every
+   * controller can cancel jobs, and the leader learns of cancellations from this watch, so it must
+   * not lag behind for long.
    */
   void watch(long revision) {
     if (term.hasEnded()) {
--- a/src/main/java/org/saffronshore/failover/PagedRecords.java
+++ b/src/main/java/org/saffronshore/failover/PagedRecords.java
@@ -19,12 +19,13 @@
 import org.saffronshore.wire.Json;
 
 /**
- * Many small records in few keys of the state service, where every key that is written counts
- * against the budget of all controllers. One leader owns them: it loads them when its term begins,
- * and its writes expect the leader's key as it wrote it. The values of entries are opaque here.
+ * Stores many small entries in a few keys of the state service, called pages, since every key that
+ * is written counts against the request budget of all controllers. The entries are owned by one
+ * leader, which loads them when its term begins and writes them in transactions that are
+ * conditional on its version of the leader key. The values of entries are opaque to this class.
  */
 final class PagedRecords {
-  /** What an entry takes beside its name and its value: quotes, a colon and a comma. */
+  /** The bytes of an entry beside its name and its value: two quotes, a colon and a comma. */
   private static final int ENTRY_OVERHEAD_BYTES = 4;
 
   private static final int QUOTES_BYTES = 2;
@@ -35,18 +36,18 @@
     int bytes;
     boolean dirty;
 
-    /** Version of the key; 0 where there is none. */
+    /** The version of the key; 0 if the key does not exist. */
     long version;
 
     /**
-     * Its version is being read, since a write of unknown outcome turned out to have been carried
-     * out.
+     * Whether the version of the key is being read, because a conflict showed that an earlier write
+     * of unknown outcome had been executed.
      */
     boolean versionReadInFlight;
 
     /**
-     * Pages that its entries were copied to, and that are not written yet: until then it stays as
-     * it is.
+     * Pages to which entries of this page were copied and that are not written yet. This page is
+     * not written until all of them are.
      */
     final Set<Page> unwrittenCopies = new HashSet<>();
 
@@ -61,16 +62,16 @@
   private final Map<String, Page> pagesByEntry = new LinkedHashMap<>();
 
   /**
-   * Creates records of which none is stored yet.
+   * Creates an empty set of entries.
    *
-   * @param prefix of the pages' keys, which end in the pages' numbers
+   * @param prefix the prefix of the keys of pages, which is followed by the number of the page
    */
   PagedRecords(String prefix, PageLimits limits) {
     this.prefix = prefix;
     this.limits = limits;
   }
 
-  /** Takes the stored pages, and hands each entry on by its name and its value. */
+  /** Loads the stored pages, and passes the name and the value of each entry to a consumer. */
   void load(List<StoredEntry> stored, BiConsumer<String, JsonNode> eachEntry) {
     for (StoredEntry storedPage : stored) {
       int number;
@@ -96,10 +97,10 @@
   }
 
   /**
-   * Splits a page from a time when values could be longer. Its entries are copied to other pages,
-   * and only once these are written it is written anew itself, so that nothing is missing for a
-   * moment. An entry that is too long for any page stays alone in the old one, which cannot be
-   * written until that entry is removed.
+   * Splits a page that was written when the size limit of values was higher. Its entries are copied
+   * to other pages, and the page itself is rewritten only after these are written, so that no entry
+   * is ever missing in the state service. An entry that is too long for any page remains in the old
+   * page, which cannot be written until that entry is removed.
    */
   private void split(Page old) {
     for (Map.Entry<String, JsonNode> entry : List.copyOf(old.entries.entrySet())) {
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Whether entries are being moved from pages that have become too long: some may stand in two
-   * pages.
+   * Returns whether entries are being moved out of pages that exceed the limit. Meanwhile, some
+   * entries may be stored in two pages.
    */
   boolean isSplitting() {
     return pages.values().stream().anyMatch(page -> !page.unwrittenCopies.isEmpty());
@@ -138,7 +139,7 @@
     pagesByEntry.put(name, page);
   }
 
-  /** Adds or replaces an entry; one that outgrows its page is moved to another one. */
+  /** Adds or replaces an entry. An entry that no longer fits into its page is moved to another. */
   void put(String name, JsonNode value) {
     if (replaceInPlace(name, value)) {
       return;
@@ -150,8 +151,9 @@
   }
 
   /**
-   * Replaces an entry where it stands; false when there is none, or no room there for its new
-   * value.
+   * Replaces an entry without moving it to another page.
+   *
+   * @return false if the entry does not exist, or if its page has no room for the new value
    */
   boolean replaceInPlace(String name, JsonNode value) {
     Page page = pagesByEntry.get(name);
@@ -193,19 +195,22 @@
     }
   }
 
-  /** The names of all entries; a view, which changes with them. */
+  /** Returns the names of all entries, as a live view. */
   Set<String> entryNames() {
     return pagesByEntry.keySet();
   }
 
   /**
-   * Adds changed pages to a transaction, as far as it has room. The result of the transaction must
-   * be given to {@link Batch#writeCompleted}.
+   * Adds changed pages to a transaction, as many as it has room for. The result of the transaction
+   * must be passed to {@link Batch#writeCompleted}.
+   *
+   * @param maxWrites the maximum number of writes in the transaction
+   * @param maxBytes the maximum total size of the added pages; a single page may be larger
    */
   Batch addChangedPages(Transaction transaction, int maxWrites, int maxBytes) {
     Batch batch = new Batch();
     int bytes = 0;
-    // A copy whose entries were all removed before it was ever written need not be.
+    // A copy whose entries were all removed before it was first written need not be written.
     pages
         .values()
         .forEach(
@@ -219,9 +224,9 @@
           || (!batch.isEmpty() && bytes + page.bytes > maxBytes)) {
         break;
       }
-      // Without this condition a write that is carried out late would put an older page over a
-      // newer one. And a page that has become empty stays: with its key gone, a late write that
-      // created it could do so again.
+      // Without this condition, a write that is executed late would overwrite a newer page with an
+      // older one. For the same reason, the key of an empty page is not deleted: a late write that
+      // expects the key to be absent could create it again.
       transaction.expectVersion(page.key, page.version);
       ObjectNode value = Json.object();
       page.entries.forEach(value::set);
@@ -241,7 +246,7 @@
         && (page.version != 0 || !page.entries.isEmpty());
   }
 
-  /** Pages that are being written. */
+  /** The pages that are written by one transaction. */
   final class Batch {
     private final List<Page> pages = new ArrayList<>();
 
@@ -249,16 +254,18 @@
       return pages.isEmpty();
     }
 
-    /** Whether the entry stands in one of these pages. */
+    /** Returns whether the entry is in one of these pages. */
     boolean contains(String name) {
       Page page = pagesByEntry.get(name);
       return page != null && pages.contains(page);
     }
 
     /**
-     * Takes the result of the write; true when it was surely carried out. One whose response was
-     * lost may yet be: it is repeated, and should the first have been carried out, the condition of
-     * the repeat fails and shows that.
+     * Handles the result of the transaction. A write whose response was lost may still be executed.
+     * It is repeated; if the first write was executed, the version condition of the repeated write
+     * fails, and the version is read again.
+     *
+     * @return whether the write is known to have been executed
      */
     boolean writeCompleted(StateClient state, CommitResult result) {
       if (result.isCommitted()) {
--- a/src/main/java/org/saffronshore/failover/TermRecovery.java
+++ b/src/main/java/org/saffronshore/failover/TermRecovery.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads, at the beginning of a term, all that earlier terms have stored, and hands it to the owners
- * of the records.
+ * Reads everything that earlier terms have stored, at the beginning of a term, and passes it to the
+ * stores that own the records.
  */
 final class TermRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(TermRecovery.class);
@@ -30,7 +30,7 @@
           Keys.LAUNCH_WATERMARKS,
           Keys.OPEN_JOBS);
 
-  /** The owners of the stored records. */
+  /** The stores that load the recovered records. */
   record Stores(
       OpenJobWatcher openJobs,
       FinishedTasksStore finishedTasks,
@@ -49,7 +49,7 @@
   /**
    * Creates the recovery of one term.
    *
-   * @param onRecovered is run once, when everything has been read
+   * @param onRecovered run once, when everything has been read and loaded
    */
   TermRecovery(
       EventLoop loop,
@@ -70,7 +70,7 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
-  /** Reads until everything has been read or the term has ended. */
+  /** Reads the stored state; retries until it has been read or the term has ended. */
   void start() {
     double requestedAt = loop.now();
     state.listAll(
@@ -127,7 +127,7 @@
     }
   }
 
-  /** At which revision each prefix was read, in the order of prefixes. */
+  /** Returns the revision at which each prefix was read, sorted by prefix. */
   private static Map<String, Long> revisions(Map<String, Listing> listings) {
     Map<String, Long> revisions = new TreeMap<>();
     listings.forEach((prefix, listing) -> revisions.put(prefix, listing.revision()));
--- a/src/main/java/org/saffronshore/failover/TermTransactions.java
+++ b/src/main/java/org/saffronshore/failover/TermTransactions.java
@@ -10,11 +10,15 @@
 import org.saffronshore.state.Transaction;
 
 /**
- * Transactions of one term. Each expects the leader's key as this term wrote it, so that nothing is
- * committed after another leader was elected; a conflict on that key ends the term.
+ * Transactions of one term. Each is conditional on the version of the leader key that this term
+ * wrote, so that nothing is committed after another leader was elected. A conflict on that key
+ * makes the leader step down.
  */
 final class TermTransactions {
-  /** A transaction may be 64 KiB long; this leaves room for its conditions. */
+  /**
+   * The maximum total size of the pages in a transaction. A transaction may be 64 KiB long; this
+   * leaves room for its conditions.
+   */
   private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
 
   private final StateClient state;
@@ -27,12 +31,12 @@
     this.maxWrites = settings.maxTransactionWrites();
   }
 
-  /** A transaction that is committed only while this term lasts. */
+  /** Begins a transaction that is conditional on this term's version of the leader key. */
   Transaction begin() {
     return new Transaction().expectVersion(Keys.LEADER, term.leaderKeyVersion());
   }
 
-  /** Adds the changed pages to a transaction, as far as it has room. */
+  /** Adds changed pages to a transaction, as many as it has room for. */
   PagedRecords.Batch addChangedPages(Transaction transaction, PagedRecords records) {
     return records.addChangedPages(transaction, maxWrites, MAX_TRANSACTION_BYTES);
   }
@@ -40,10 +44,10 @@
   /**
    * Commits a transaction.
    *
-   * @param priority whether it may use the part of the rate that is kept for what cannot wait
-   * @param then receives the result unless the term has ended by then
+   * @param priority whether the transaction may use the reserve of the rate limiter
+   * @param callback receives the result, unless the term has ended by then
    */
-  void commit(Transaction transaction, RequestPriority priority, Consumer<CommitResult> then) {
+  void commit(Transaction transaction, RequestPriority priority, Consumer<CommitResult> callback) {
     state.commit(
         transaction,
         priority,
@@ -51,17 +55,19 @@
           if (term.hasEnded()) {
             return;
           }
-          then.accept(result);
+          callback.accept(result);
           stepDownIfSuperseded(result);
         });
   }
 
   /**
-   * Commits pages.
+   * Commits a transaction that writes pages.
    *
-   * @param then receives whether they were surely written, unless the term has ended by then
+   * @param batch the pages that were added to the transaction
+   * @param callback receives whether the pages are known to have been written, unless the term has
+   *     ended by then
    */
-  void commitPages(Transaction transaction, PagedRecords.Batch batch, Consumer<Boolean> then) {
+  void commitPages(Transaction transaction, PagedRecords.Batch batch, Consumer<Boolean> callback) {
     state.commit(
         transaction,
         RequestPriority.VITAL,
@@ -70,14 +76,14 @@
           if (term.hasEnded()) {
             return;
           }
-          then.accept(written);
+          callback.accept(written);
           stepDownIfSuperseded(result);
         });
   }
 
   private void stepDownIfSuperseded(CommitResult result) {
     if (result.conflictingKeys().contains(Keys.LEADER)) {
-      term.stepDown("the leader's key is not its own any more");
+      term.stepDown("leader key is not at the version that this term wrote");
     }
   }
 }
--- a/src/main/java/org/saffronshore/failover/package-info.java
+++ b/src/main/java/org/saffronshore/failover/package-info.java
@@ -1,12 +1,12 @@
 /**
- * What the leader of a new term reads, reconciles and persists for the next one: recovery of the
- * stored state, finished tasks, launch watermarks, the machine registry, job outcomes, and how far
- * cancellations are known. {@link org.saffronshore.failover.Failover} is the entry point; the other
- * types are its parts.
+ * Takeover by the leader of a new term, and the records that it persists for the next leader:
+ * recovery of the stored state, finished tasks, launch watermarks, the machine registry, job
+ * outcomes, and the time up to which cancellations are known. {@link
+ * org.saffronshore.failover.Failover} is the entry point; the other types are its components.
  *
- * <p>It uses the cluster, the leader's term and the state service. It knows nothing of scheduling,
- * of requests, or of the messages of workers and peers. The forms of stored values are in {@link
- * org.saffronshore.state}; here they are only passed on.
+ * <p>This package depends on the cluster, the leader's term and the state service. It does not
+ * depend on scheduling, on user requests, or on the messages of workers and peers. The formats of
+ * stored values are defined in {@link org.saffronshore.state}.
  */
 @NullMarked
 package org.saffronshore.failover;
--- a/src/test/java/org/saffronshore/failover/CancellationHorizonTest.java
+++ b/src/test/java/org/saffronshore/failover/CancellationHorizonTest.java
@@ -9,23 +9,29 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.wire.InvalidFieldException;
 
-/** The open jobs were read at 100; two peers, n-1 and n-2, report the cancellations they know. */
+/**
+ * Tests up to which time cancellations are known, after the open jobs were read at 100 s and the
+ * two peers of the controller, n-1 and n-2, have reported cancellations.
+ */
 class CancellationHorizonTest {
 
   /**
-   * Each entry of a script is the peer, when it was asked, and since when its report is complete.
+   * Each report in a script consists of the peer, the time of the request to it, and the time since
+   * which its report is complete.
    */
   @ParameterizedTest
   @CsvSource({
     "'', 100",
-    "'n-1 110 50', 100", // The other one may have confirmed more.
+    // n-2 has not reported and may have confirmed more.
+    "'n-1 110 50', 100",
     "'n-1 110 50, n-2 112 50', 110",
     "'n-1 110 50, n-2 112 100', 110",
-    "'n-1 110 50, n-2 112 101', 100", // Restarted since: its last incarnation may have confirmed
-    // more.
-    "'n-1 110 50, n-2 112 50, n-2 120 111, n-1 130 50', 120", // Reported without a gap.
-    "'n-1 110 50, n-2 112 50, n-2 120 113, n-1 130 50', 112", // Something may be missing between
-    // 112 and 113.
+    // n-2 was restarted after the read: its previous process may have confirmed more.
+    "'n-1 110 50, n-2 112 101', 100",
+    // The reports of n-2 have no gap.
+    "'n-1 110 50, n-2 112 50, n-2 120 111, n-1 130 50', 120",
+    // Cancellations between 112 and 113 may be missing.
+    "'n-1 110 50, n-2 112 50, n-2 120 113, n-1 130 50', 112",
     "'n-1 90 50, n-2 95 50', 100",
     "'n-9 200 0, n-8 200 0', 100"
   })
@@ -48,12 +54,15 @@
     assertEquals(Double.NEGATIVE_INFINITY, horizon.renewalsAllowedUntil());
     horizon.recordRead(100);
     horizon.recordRead(90);
-    assertEquals(100, horizon.horizon(), "a late response does not move it back");
+    assertEquals(
+        100,
+        horizon.horizon(),
+        "a late response to an earlier request must not move the horizon back");
   }
 
   /**
-   * A task that is kept alive at the last moment ends with its lease, before its cancellation is
-   * due.
+   * A task whose lease is renewed at the last permitted time must end, by lease expiry, before the
+   * cancellation deadline.
    */
   @ParameterizedTest
   @CsvSource({"20, 40, 116.98", "36, 66, 126.964", "20, 20, 103.333"})
--- a/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -59,10 +59,10 @@
       records.put("host-" + i, LongNode.valueOf(i));
     }
     assertTrue(write(records));
-    assertFalse(write(records), "nothing has changed");
+    assertFalse(write(records), "no entry has changed");
     assertEquals(10, stored().size());
-    assertTrue(service.version("r/1") > 0, "a page has a bounded length");
-    assertEquals(0, service.version("r/2"), "and is filled");
+    assertTrue(service.version("r/1") > 0, "the size of a page must be bounded");
+    assertEquals(0, service.version("r/2"), "pages must be filled before another one is created");
     records.put("host-3", LongNode.valueOf(33));
     for (int i = 4; i < 10; i++) {
       records.remove("host-" + i);
@@ -71,7 +71,7 @@
     assertEquals(Map.of("host-0", 0L, "host-1", 1L, "host-2", 2L, "host-3", 33L), stored());
   }
 
-  /** An entry that must not be missing for a moment is replaced in its page, or not at all. */
+  /** An entry that must never be missing is replaced in its page, or not at all. */
   @Test
   void replaceSucceedsOnlyWhileThePageHasRoom() {
     for (int i = 0; i < 5; i++) {
@@ -83,7 +83,10 @@
     for (int i = 0; i < 5; i++) {
       replaced += records.replaceInPlace("host-" + i, LongNode.valueOf(large)) ? 1 : 0;
     }
-    assertEquals(4, replaced, "5 of 11 bytes, each longer by 15, in 120");
+    assertEquals(
+        4,
+        replaced,
+        "5 entries of 11 bytes, each 15 bytes longer once replaced, in a page of 120 bytes");
     assertFalse(records.replaceInPlace("host-9", LongNode.valueOf(1)));
     assertTrue(write(records));
     assertEquals(0, service.version("r/1"));
@@ -91,13 +94,14 @@
   }
 
   /**
-   * A late write must not remove entries that were added since: a leader would not look for them.
+   * A write that is executed late must not remove entries that were added in the meantime: the next
+   * leader would not know of them.
    */
   @Test
   void lateWriteOfAnOlderPageIsRefused() {
     records.put("host-1", LongNode.valueOf(1));
     service.held = (method, path) -> path.equals("/commit");
-    assertFalse(write(records), "the outcome is unknown");
+    assertFalse(write(records), "the outcome of the write must be unknown");
     service.held = (method, path) -> false;
     records.put("host-2", LongNode.valueOf(2));
     assertTrue(write(records));
@@ -105,21 +109,24 @@
     assertEquals(Map.of("host-1", 1L, "host-2", 2L), stored());
   }
 
-  /** A late write must not restore, in a page that was emptied since, entries that were removed. */
+  /**
+   * A write that is executed late must not restore removed entries in a page that has become empty
+   * in the meantime.
+   */
   @Test
   void lateWriteDoesNotRecreateEntriesOfAnEmptiedPage() {
     records.put("host-1", LongNode.valueOf(1));
     service.held = (method, path) -> path.equals("/commit");
     assertFalse(write(records));
     service.held = (method, path) -> false;
-    assertTrue(write(records), "the repeat is carried out first");
+    assertTrue(write(records), "the repeated write must be executed before the late one");
     records.remove("host-1");
     assertTrue(write(records));
     service.deliverLate();
     assertEquals(Map.of(), stored());
   }
 
-  /** A page must not be in conflict for good once a late write of it was carried out. */
+  /** Writes of a page must not fail with conflicts forever after a late write was executed. */
   @Test
   void versionIsReadAgainAfterALateWriteWasCarriedOut() {
     records.put("host-1", LongNode.valueOf(1));
@@ -128,7 +135,7 @@
     service.held = (method, path) -> false;
     service.deliverLate();
     records.put("host-2", LongNode.valueOf(2));
-    assertFalse(write(records), "the key is there by now");
+    assertFalse(write(records), "the late write has already created the key");
     assertTrue(write(records));
     assertEquals(Map.of("host-1", 1L, "host-2", 2L), stored());
   }
@@ -144,8 +151,8 @@
   }
 
   /**
-   * A page from a time when values could be longer is readable, and is split without an entry
-   * missing for a moment.
+   * A page that was written when the size limit of values was higher must be readable, and must be
+   * split without any entry missing in between.
    */
   @Test
   void pageAboveTheLimitIsSplitWithoutMissingEntries() {
@@ -161,7 +168,7 @@
         listing -> records.load(listing.orElseThrow().entries(), (name, value) -> {}));
     loop.pass(1);
     assertTrue(records.isSplitting());
-    // A copy whose entries are removed meanwhile may be left that was never written.
+    // These removals may leave copies without entries that were never written.
     for (int i = 20; i < 30; i++) {
       records.remove("host-" + i);
     }
