--- a/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
+++ b/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
@@ -22,26 +22,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists which tasks of open jobs are finished, so that a change of leader does not run them
- * again.
+ * Persists which tasks of open jobs are finished, so that they are not run again after a change of
+ * leader.
  */
 final class FinishedTasksStore {
   private static final Logger LOG = LoggerFactory.getLogger(FinishedTasksStore.class);
 
-  /** What an entry takes beside its bits. */
-  private static final int NAME_BYTES = 64;
+  /** The bytes of an entry that are reserved for everything except its bits. */
+  private static final int ENTRY_OVERHEAD_BYTES = 64;
 
-  /** Task indexes per byte of base64. */
-  private static final int BITS_PER_BASE64_BYTE = 6;
+  /** The number of task indexes that one character of Base64 encodes. */
+  private static final int BITS_PER_BASE64_CHAR = 6;
 
   private final TermTransactions transactions;
   private final Cluster cluster;
   private final PagedRecords standardChunks;
 
-  /** Chunks of jobs so large that values are too short for a chunk of the standard length. */
+  /**
+   * Chunks shorter than the standard length, for large jobs where a chunk of the standard length
+   * exceeds the size limit of a stored value.
+   */
   private final PagedRecords shortChunks;
 
-  private final int shortLength;
+  private final int shortChunkLength;
   private boolean writeInFlight;
   private boolean shortChunksFirst;
 
@@ -49,15 +52,18 @@
     this.transactions = transactions;
     this.cluster = cluster;
     PageLimits limits = PageLimits.of(settings);
-    this.shortLength = shortLength(limits.maxBytes());
+    this.shortChunkLength = shortChunkLength(limits.maxBytes());
     this.shortChunks = new PagedRecords(Keys.FINISHED_TASKS_SHORT_CHUNKS, limits);
     this.standardChunks = new PagedRecords(Keys.FINISHED_TASKS, limits);
   }
 
-  /** The longest chunk that fits into a page; the standard length where that does. */
-  private static int shortLength(int maxBytes) {
+  /**
+   * Returns the chunk length, in task indexes, that fits into a page: the standard length, halved
+   * as often as necessary.
+   */
+  private static int shortChunkLength(int maxBytes) {
     int length = FinishedTasksChunk.STANDARD_LENGTH;
-    while (length > Byte.SIZE && length / BITS_PER_BASE64_BYTE + NAME_BYTES > maxBytes) {
+    while (length > Byte.SIZE && length / BITS_PER_BASE64_CHAR + ENTRY_OVERHEAD_BYTES > maxBytes) {
       length /= 2;
     }
     return length;
@@ -65,7 +71,13 @@
 
   // Recovery
 
-  /** The finished tasks of each job, as earlier terms have stored them. */
+  /**
+   * Loads what earlier terms have stored.
+   *
+   * @param standard the pages of chunks of the standard length
+   * @param shorter the pages of shorter chunks
+   * @return the finished tasks of each job, by job id
+   */
   Map<String, BitSet> load(Listing standard, Listing shorter) {
     Map<String, BitSet> finishedTasks = new HashMap<>();
     standardChunks.load(
@@ -78,7 +90,7 @@
                 finishedTasks,
                 name,
                 value,
-                stored -> FinishedTasksChunk.parseShort(stored, shortLength)));
+                stored -> FinishedTasksChunk.parseShort(stored, shortChunkLength)));
     return finishedTasks;
   }
 
@@ -95,15 +107,15 @@
       String job = FinishedTasksChunk.jobOf(name);
       chunk.addTo(finishedTasks.computeIfAbsent(job, id -> new BitSet()), number);
     } catch (InvalidFieldException e) {
-      // The tasks run again; one whose result is kept ends at once when it is started again.
+      // These tasks run again. A task whose result is kept ends as soon as it is started again.
       LOG.error("Finished tasks are unreadable: entry={} reason={}", name, e.getMessage());
     }
   }
 
-  /** Drops the entries of jobs that are not open any more. */
+  /** Removes the entries of jobs that are no longer open. */
   void retainOpenJobs() {
     for (PagedRecords records : List.of(standardChunks, shortChunks)) {
-      for (String name : new ArrayList<>(records.names())) {
+      for (String name : new ArrayList<>(records.entryNames())) {
         if (cluster.job(FinishedTasksChunk.jobOf(name)) == null) {
           records.remove(name);
         }
@@ -113,34 +125,35 @@
 
   // Writing
 
-  /** Drops the entries of a job that has ended. */
+  /** Removes the entries of a job that has ended. */
   void remove(String job) {
     for (int number = 0;
         number * FinishedTasksChunk.STANDARD_LENGTH < JobSpec.MAX_TASKS;
         number++) {
       standardChunks.remove(FinishedTasksChunk.entryName(job, number));
     }
-    if (shortLength < FinishedTasksChunk.STANDARD_LENGTH) {
-      shortChunks.names().stream()
+    if (shortChunkLength < FinishedTasksChunk.STANDARD_LENGTH) {
+      shortChunks.entryNames().stream()
           .filter(name -> name.startsWith(job + "/"))
           .toList()
           .forEach(shortChunks::remove);
     }
   }
 
-  /** All finished tasks of a job, and the names of the entries that hold the unsaved ones. */
-  private record UnsavedTasks(BitSet finishedTasks, Set<String> entries) {}
+  /** All finished tasks of a job, and the names of the entries that contain unsaved ones. */
+  private record UnsavedTasks(BitSet finishedTasks, Set<String> entryNames) {}
 
-  /** Writes the tasks that have finished since the last write, unless one is in flight. */
+  /** Writes the tasks that have finished since the last write, unless a write is in flight. */
   void save() {
     if (writeInFlight) {
       return;
     }
-    Map<Job, UnsavedTasks> saving = new LinkedHashMap<>();
+    Map<Job, UnsavedTasks> unsavedByJob = new LinkedHashMap<>();
     for (Job job : cluster.jobsWithUnsavedTasks()) {
       if (!job.isComplete()) {
         BitSet finishedTasks = (BitSet) job.finishedTasks().clone();
-        saving.put(job, new UnsavedTasks(finishedTasks, putChangedChunks(job, finishedTasks)));
+        unsavedByJob.put(
+            job, new UnsavedTasks(finishedTasks, putUnsavedChunks(job, finishedTasks)));
       }
     }
     Transaction transaction = transactions.begin();
@@ -148,7 +161,9 @@
     if (batch.isEmpty()) {
       return;
     }
-    saving.values().removeIf(unsaved -> !unsaved.entries.stream().allMatch(batch::contains));
+    unsavedByJob
+        .values()
+        .removeIf(unsaved -> !unsaved.entryNames.stream().allMatch(batch::contains));
     writeInFlight = true;
     transactions.commitPages(
         transaction,
@@ -156,13 +171,16 @@
         written -> {
           writeInFlight = false;
           if (written) {
-            saving.forEach(
+            unsavedByJob.forEach(
                 (job, unsaved) -> cluster.finishedTasksSaved(job, unsaved.finishedTasks));
           }
         });
   }
 
-  /** Pages of one of both lengths, in turns should both have something to write. */
+  /**
+   * Adds changed pages with chunks of one length to the transaction. Both lengths take turns if
+   * both have changed pages.
+   */
   private PagedRecords.Batch addChangedPages(Transaction transaction) {
     shortChunksFirst = !shortChunksFirst;
     PagedRecords.Batch batch =
@@ -172,16 +190,17 @@
         : batch;
   }
 
-  /** Enters the chunks that hold tasks which are not saved yet; returns the entries' names. */
-  private Set<String> putChangedChunks(Job job, BitSet finishedTasks) {
+  /** Puts the chunks that contain unsaved tasks into pages; returns the names of the entries. */
+  private Set<String> putUnsavedChunks(Job job, BitSet finishedTasks) {
     Set<String> names = new LinkedHashSet<>();
     BitSet unsaved = (BitSet) finishedTasks.clone();
     unsaved.andNot(job.savedFinishedTasks());
-    // Earlier versions read only chunks of the standard length; one holds all tasks of all but the
-    // largest jobs.
+    // Earlier versions can read only chunks of the standard length, and one such chunk holds all
+    // tasks of all but the largest jobs. Short chunks are therefore used only for the largest jobs.
     boolean isShort =
-        shortLength < FinishedTasksChunk.STANDARD_LENGTH && job.spec().tasks() > shortLength;
-    int length = isShort ? shortLength : FinishedTasksChunk.STANDARD_LENGTH;
+        shortChunkLength < FinishedTasksChunk.STANDARD_LENGTH
+            && job.spec().tasks() > shortChunkLength;
+    int length = isShort ? shortChunkLength : FinishedTasksChunk.STANDARD_LENGTH;
     PagedRecords records = isShort ? shortChunks : standardChunks;
     int task = unsaved.nextSetBit(0);
     while (task >= 0) {
--- a/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
+++ b/src/main/java/org/saffronshore/failover/OpenJobWatcher.java
@@ -23,7 +23,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps one term's cluster in line with the open jobs of the state service. */
+/** Keeps the cluster of one term consistent with the open jobs in the state service. */
 final class OpenJobWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(OpenJobWatcher.class);
 
@@ -34,13 +34,13 @@
   private final JobRemoval jobRemoval;
   private final CancellationTracker cancellations;
   private final Runnable dueWork;
-  private final double maxWatchS;
+  private final double maxWatchWaitS;
   private final double retryDelayS;
 
   /**
    * Creates the watcher of one term.
    *
-   * @param dueWork is run after jobs were added or removed
+   * @param dueWork run after jobs were added or removed
    */
   OpenJobWatcher(
       EventLoop loop,
@@ -58,16 +58,21 @@
     this.jobRemoval = jobRemoval;
     this.cancellations = cancellations;
     this.dueWork = dueWork;
-    this.maxWatchS = settings.cancellationDeadlineS() / 20;
+    this.maxWatchWaitS = settings.cancellationDeadlineS() / 20;
     this.retryDelayS = settings.heartbeatIntervalS() / 10;
   }
 
-  /** Adds the jobs that were open when the term began. */
+  /**
+   * Adds the jobs that were open when the term began.
+   *
+   * @param finishedTasks the stored finished tasks, by job id
+   * @param launchWatermarks the stored launch watermarks, by job id
+   */
   void load(
       Listing openJobs, Map<String, BitSet> finishedTasks, Map<String, Integer> launchWatermarks) {
     for (StoredEntry entry : openJobs.entries()) {
       String id = Keys.idOf(entry.key());
-      add(
+      addJob(
           entry.key(),
           entry.value(),
           entry.version(),
@@ -76,12 +81,12 @@
     }
   }
 
-  /** A job that was accepted after the term began: no other leader can have launched any of it. */
-  private void addNew(String key, JsonNode value, long version) {
-    add(key, value, version, new BitSet(), 0);
+  /** Adds a job accepted after the term began; no other leader can have launched its tasks. */
+  private void addNewJob(String key, JsonNode value, long version) {
+    addJob(key, value, version, new BitSet(), 0);
   }
 
-  private void add(
+  private void addJob(
       String key, JsonNode value, long version, BitSet finishedTasks, int launchWatermark) {
     try {
       JobRecord job = JobRecord.parse(value);
@@ -92,8 +97,9 @@
   }
 
   /**
-   * Follows the changes after a revision for as long as the term lasts. Cancellations are decided
-   * by all controllers and become known here, so this must never lag for long.
+   * Watches the open jobs for changes after a revision, for as long as the term lasts. Every
+   * controller can cancel jobs, and the leader learns of cancellations from this watch, so it must
+   * not lag behind for long.
    */
   void watch(long revision) {
     if (term.hasEnded()) {
@@ -103,7 +109,7 @@
     state.watch(
         Keys.OPEN_JOBS,
         revision,
-        maxWatchS,
+        maxWatchWaitS,
         result -> {
           if (term.hasEnded()) {
             return;
@@ -123,7 +129,7 @@
   private void apply(List<WatchResult.Event> events) {
     for (WatchResult.Event event : events) {
       if (event.value() != null) {
-        addNew(event.key(), event.value(), event.version());
+        addNewJob(event.key(), event.value(), event.version());
       } else {
         jobRemoval.remove(Keys.idOf(event.key()));
       }
@@ -147,18 +153,18 @@
             return;
           }
           Listing openJobs = listing.get();
-          replaceAll(openJobs.entries());
+          syncWithListing(openJobs.entries());
           cancellations.recordRead(requestedAt);
           watch(openJobs.revision());
           dueWork.run();
         });
   }
 
-  private void replaceAll(List<StoredEntry> openJobs) {
+  private void syncWithListing(List<StoredEntry> openJobs) {
     Set<String> ids = new HashSet<>();
     for (StoredEntry entry : openJobs) {
       ids.add(Keys.idOf(entry.key()));
-      addNew(entry.key(), entry.value(), entry.version());
+      addNewJob(entry.key(), entry.value(), entry.version());
     }
     for (Job job : new ArrayList<>(cluster.jobs())) {
       if (!ids.contains(job.spec().id())) {
