--- a/src/main/java/org/saffronshore/cluster/Attempt.java
+++ b/src/main/java/org/saffronshore/cluster/Attempt.java
@@ -31,7 +31,7 @@
   private State state = State.LAUNCHING;
   private boolean completed;
 
-  private boolean stopping;
+  private boolean isStopping;
   private double gracePeriodS;
   private double stopSentAt = Double.NEGATIVE_INFINITY;
 
@@ -127,21 +127,21 @@
     return observedFromStart;
   }
 
-  void pullingImage() {
+  void markPullingImage() {
     state = State.PULLING_IMAGE;
   }
 
-  void running(double now, boolean launchedInThisTerm) {
+  void markRunning(double now, boolean launchedInThisTerm) {
     state = State.RUNNING;
     runningSince = now;
     observedFromStart = launchedInThisTerm;
   }
 
-  void checkpointing() {
+  void markCheckpointing() {
     state = State.CHECKPOINTING;
   }
 
-  void exited() {
+  void markExited() {
     state = State.EXITED;
   }
 
@@ -156,8 +156,8 @@
 
   // Stopping
 
-  public boolean stopping() {
-    return stopping;
+  public boolean isStopping() {
+    return isStopping;
   }
 
   double gracePeriodS() {
@@ -166,7 +166,7 @@
 
   /** Asks for a stop, which is to be sent without delay even if one was sent before. */
   void requestStop(double graceS) {
-    stopping = true;
+    isStopping = true;
     gracePeriodS = graceS;
     stopSentAt = Double.NEGATIVE_INFINITY;
   }
@@ -176,7 +176,7 @@
   }
 
   boolean isStopDue(double now, double repeatAfterS) {
-    return stopping && now >= stopSentAt + repeatAfterS;
+    return isStopping && now >= stopSentAt + repeatAfterS;
   }
 
   // Delivery of its launch
@@ -202,7 +202,7 @@
   }
 
   /** A worker shows the attempt: some leader has sent its launch. */
-  void adopted() {
+  void markAdopted() {
     launchSent = true;
   }
 
--- a/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
@@ -28,7 +28,7 @@
   /** What to do when something has happened that may let a task be placed. */
   private final Runnable onChange;
 
-  private long lastAttempt;
+  private long attemptCounter;
 
   AttemptLifecycle(
       EventLoop loop,
@@ -50,7 +50,7 @@
   }
 
   /** Whether this term has placed the attempt. */
-  boolean isOfThisTerm(Attempt attempt) {
+  boolean wasPlacedInThisTerm(Attempt attempt) {
     return attempt.number() >> TERM_SHIFT == term;
   }
 
@@ -68,7 +68,7 @@
         || !machine.isSchedulable(loop.now())) {
       return Optional.empty();
     }
-    long number = (term << TERM_SHIFT) + ++lastAttempt;
+    long number = (term << TERM_SHIFT) + ++attemptCounter;
     Attempt attempt = new Attempt(task, number, machine, job.spec(), loop.now(), overdue);
     job.addAttempt(attempt);
     machine.placeAttempt(attempt);
@@ -77,7 +77,7 @@
       commandQueue.markDue(machine);
     } else {
       job.requestLaunchWatermark(task.index());
-      jobs.awaitingLaunchWatermark().add(job);
+      jobs.jobsAwaitingLaunchWatermark().add(job);
     }
     return Optional.of(attempt);
   }
@@ -119,7 +119,7 @@
 
   /** A later stop changes an earlier one only when it leaves less time. */
   private void stop(Attempt attempt, double graceS, StopReason reason, String detail) {
-    if (!attempt.stopping()) {
+    if (!attempt.isStopping()) {
       LOG.debug(
           "Stopping task: task={} machine={} attempt={} reason={} detail={}",
           attempt.task(),
@@ -158,7 +158,7 @@
     double now = loop.now();
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
       JobSpec job = attempt.job();
-      if (job == null || attempt.stopping()) {
+      if (job == null || attempt.isStopping()) {
         continue;
       }
       double remainingS = runtimeEstimator.remainingRuntimeS(job, attempt.runningSince(), now);
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -188,7 +188,7 @@
 
   /** Jobs with finished tasks that the state service does not know of yet; a live view. */
   public Set<Job> jobsWithUnsavedTasks() {
-    return jobs.unsavedJobs();
+    return jobs.jobsWithUnsavedTasks();
   }
 
   /** The state service knows these finished tasks; their attempts need not be kept any more. */
@@ -203,7 +203,7 @@
 
   /** Jobs with placed tasks that are launched once a higher launch watermark is written. */
   public Set<Job> jobsAwaitingLaunchWatermark() {
-    return jobs.awaitingLaunchWatermark();
+    return jobs.jobsAwaitingLaunchWatermark();
   }
 
   /** The state service knows that tasks of the job below this one may have been launched. */
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -98,7 +98,7 @@
         jobs.all().size(),
         waitingTasks(),
         pullingTasks,
-        jobs.dependencies().waitingCount());
+        jobs.dependencies().waitingJobCount());
   }
 
   private int waitingTasks() {
@@ -191,7 +191,7 @@
   /** Whether the job has waited for very long, and nothing of it has ever run. */
   private boolean isOverdue(Job job) {
     double limitS = OVERDUE_LEASES * settings.workerLeaseS();
-    return job.waitingTimeS(loop.wallClockMs()) > limitS && job.isUntouched();
+    return job.waitingTimeS(loop.wallClockMs()) > limitS && job.hasNotStarted();
   }
 
   /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
@@ -318,7 +318,7 @@
         && job.supportsCheckpoints()
         && !job.singleZone()
         && !job.spread()
-        && !attempt.stopping()
+        && !attempt.isStopping()
         && attempt.state() == Attempt.State.RUNNING
         && now >= attempt.runningSince() + minRunS
         && remainingRuntimeS(job, attempt, now)
--- a/src/main/java/org/saffronshore/cluster/CommandBuilder.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBuilder.java
@@ -103,7 +103,7 @@
     }
     commands.add(Command.launch(attempt.task(), attempt.number()));
     launches.add(attempt);
-    if (attempt.stopping()) {
+    if (attempt.isStopping()) {
       commands.add(Command.stop(attempt.task(), attempt.number(), 0));
     }
   }
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -110,7 +110,7 @@
 
   private void launchCompleted(Attempt attempt, DeliveryOutcome outcome) {
     boolean neverSent = attempt.launchCompleted(outcome);
-    if (neverSent && attempt.stopping() && attempt.isOnMachine()) {
+    if (neverSent && attempt.isStopping() && attempt.isOnMachine()) {
       attempts.end(attempt);
     }
   }
--- a/src/main/java/org/saffronshore/cluster/DependencyGraph.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -20,19 +20,19 @@
 public final class DependencyGraph {
 
   /** An open job with its own priority. */
-  private record Entry(Priority ownPriority, List<String> dependencies) {}
+  private record OpenJob(Priority ownPriority, List<String> dependencies) {}
 
   /** How a job ended that others depend on, and at which time of day; done, or cancelled. */
   private record Outcome(boolean done, long atMs) {}
 
-  private final Map<String, Entry> openJobs = new LinkedHashMap<>();
+  private final Map<String, OpenJob> openJobs = new LinkedHashMap<>();
 
   /** Open jobs that depend on a job, directly. */
   private final Map<String, Set<String>> dependents = new HashMap<>();
 
   private final Map<String, Outcome> outcomes = new HashMap<>();
 
-  /** Whether other priorities may count since the last {@link #updatedPriorities}. */
+  /** Whether other priorities may count since the last {@link #recomputeEffectivePriorities}. */
   private boolean prioritiesStale;
 
   /**
@@ -40,7 +40,7 @@
    * on it.
    */
   public void add(String job, Priority ownPriority, List<String> dependencies) {
-    openJobs.put(job, new Entry(ownPriority, dependencies));
+    openJobs.put(job, new OpenJob(ownPriority, dependencies));
     for (String dependency : dependencies) {
       dependents.computeIfAbsent(dependency, name -> new LinkedHashSet<>()).add(job);
     }
@@ -49,7 +49,7 @@
 
   /** The job is not open any more; how it ended may not be known yet. */
   public void remove(String job) {
-    Entry entry = openJobs.remove(job);
+    OpenJob entry = openJobs.remove(job);
     if (entry == null) {
       return;
     }
@@ -80,7 +80,7 @@
 
   /** Whether all its dependencies are known to be done. */
   public boolean isReady(String job) {
-    Entry entry = openJobs.get(job);
+    OpenJob entry = openJobs.get(job);
     return entry == null || entry.dependencies.stream().allMatch(this::isDone);
   }
 
@@ -91,7 +91,7 @@
 
   /** Time of day at which its last dependency was done; 0 when it has none. */
   public long readyAtMs(String job) {
-    Entry entry = openJobs.get(job);
+    OpenJob entry = openJobs.get(job);
     if (entry == null) {
       return 0;
     }
@@ -109,14 +109,14 @@
   }
 
   /** Jobs that others depend on, that are not open, and of which the outcome is not known. */
-  public List<String> unresolved() {
+  public List<String> jobsWithUnknownOutcome() {
     return dependents.keySet().stream()
         .filter(job -> !openJobs.containsKey(job) && !outcomes.containsKey(job))
         .toList();
   }
 
   /** Open jobs to be cancelled, since a dependency was, directly or through others. */
-  public List<String> cancelledJobs() {
+  public List<String> jobsToCancel() {
     Set<String> cancelled = new LinkedHashSet<>();
     ArrayDeque<String> pending = new ArrayDeque<>();
     outcomes.forEach(
@@ -140,11 +140,11 @@
    * it, directly or through others. In one pass over the graph; empty when nothing has changed
    * since the last.
    */
-  public Map<String, Priority> updatedPriorities() {
+  public Map<String, Priority> recomputeEffectivePriorities() {
     Map<String, Priority> priorities = new HashMap<>();
     if (prioritiesStale) {
       prioritiesStale = false;
-      openJobs.keySet().forEach(job -> addPriority(job, priorities));
+      openJobs.keySet().forEach(job -> computeEffectivePriority(job, priorities));
     }
     return priorities;
   }
@@ -153,12 +153,12 @@
    * Adds the priorities of a job and of all that depend on it. Deep chains must not use up the call
    * stack, so what has to be known first is put before the job that depends on it.
    */
-  private void addPriority(String from, Map<String, Priority> known) {
+  private void computeEffectivePriority(String from, Map<String, Priority> known) {
     ArrayDeque<String> stack = new ArrayDeque<>();
     stack.push(from);
     while (!stack.isEmpty()) {
       String job = stack.element();
-      Entry entry = openJobs.get(job);
+      OpenJob entry = openJobs.get(job);
       Priority highest = entry == null ? Priority.IDLE : entry.ownPriority;
       boolean complete = true;
       for (String dependent : dependents.getOrDefault(job, Set.of())) {
@@ -178,7 +178,7 @@
   }
 
   /** How many open jobs wait for their dependencies. */
-  public long waitingCount() {
+  public long waitingJobCount() {
     return openJobs.keySet().stream().filter(job -> !isReady(job)).count();
   }
 }
--- a/src/main/java/org/saffronshore/cluster/Job.java
+++ b/src/main/java/org/saffronshore/cluster/Job.java
@@ -72,7 +72,7 @@
   // Failures
 
   /** Machines on which a task of this job failed, since the last time one completed. */
-  private final Set<String> failedOn = new HashSet<>();
+  private final Set<String> failedMachineIds = new HashSet<>();
 
   private double backoffUntil = Double.NEGATIVE_INFINITY;
   private int backoffCount;
@@ -111,12 +111,12 @@
   }
 
   /** It has dependencies, which are not known to be done. */
-  void waitForDependencies() {
+  void markNotReady() {
     ready = false;
   }
 
   /** All its dependencies are done since a time of day. */
-  void dependenciesDone(long atMs) {
+  void markReady(long atMs) {
     ready = true;
     readyAtMs = atMs;
   }
@@ -131,7 +131,7 @@
   }
 
   /** Whether nothing of it has ever run, or may run now. */
-  boolean isUntouched() {
+  boolean hasNotStarted() {
     return !started && finishedTasks.isEmpty() && placedAttempts.isEmpty();
   }
 
@@ -315,16 +315,16 @@
    * Tasks that an earlier leader may have launched and that no reconciled machine has shown. What
    * an unreconciled machine's heartbeat shows may be over, and the task may be elsewhere by now.
    */
-  BitSet launchedOnUnreconciled() {
+  BitSet tasksPossiblyOnUnreconciledMachines() {
     BitSet all = new BitSet();
     all.set(0, Math.min(inheritedLaunchWatermark, spec.tasks()));
     all.andNot(finishedTasks);
-    clearReconciled(placedAttempts.values(), all);
-    clearReconciled(duplicateAttempts, all);
+    clearTasksOnReconciledMachines(placedAttempts.values(), all);
+    clearTasksOnReconciledMachines(duplicateAttempts, all);
     return all;
   }
 
-  private static void clearReconciled(Collection<Attempt> attempts, BitSet tasks) {
+  private static void clearTasksOnReconciledMachines(Collection<Attempt> attempts, BitSet tasks) {
     for (Attempt attempt : attempts) {
       if (attempt.machine().isReconciled()) {
         tasks.clear(attempt.task().index());
@@ -343,12 +343,12 @@
    * job is at fault, and not the machines.
    */
   boolean taskFailedOn(String machineId) {
-    failedOn.add(machineId);
-    return failedOn.size() >= MAX_FAILED_MACHINES;
+    failedMachineIds.add(machineId);
+    return failedMachineIds.size() >= MAX_FAILED_MACHINES;
   }
 
   int failedMachineCount() {
-    return failedOn.size();
+    return failedMachineIds.size();
   }
 
   /** None of its tasks is placed for a while, which doubles each time and never exceeds a bound. */
@@ -358,7 +358,7 @@
   }
 
   void taskCompleted() {
-    failedOn.clear();
+    failedMachineIds.clear();
     backoffCount = 0;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -31,9 +31,9 @@
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final DependencyGraph dependencies = new DependencyGraph();
-  private final Set<Job> unsavedJobs = new LinkedHashSet<>();
+  private final Set<Job> jobsWithUnsavedTasks = new LinkedHashSet<>();
   private final Set<Job> completedJobs = new LinkedHashSet<>();
-  private final Set<Job> awaitingLaunchWatermark = new LinkedHashSet<>();
+  private final Set<Job> jobsAwaitingLaunchWatermark = new LinkedHashSet<>();
 
   JobTable(EventLoop loop, ArrivalStatistics arrivals, long termVersion, Runnable onChange) {
     this.loop = loop;
@@ -51,7 +51,7 @@
   }
 
   /** Whether the job was accepted before this term began, and may thus have been launched. */
-  boolean isOlderThanTerm(Job job) {
+  boolean wasAcceptedBeforeTerm(Job job) {
     return job.version() < termVersion;
   }
 
@@ -71,7 +71,7 @@
     if (spec.dependencies().isEmpty()) {
       arrivals.jobArrived(spec, version > termVersion, loop.now());
     } else {
-      job.waitForDependencies();
+      job.markNotReady();
       updateReadiness(job);
     }
     updatePriorities();
@@ -100,7 +100,7 @@
   private void updateReadiness(Job job) {
     if (!job.isReady() && dependencies.isReady(job.id())) {
       LOG.debug("All dependencies are done: job={}", job.id());
-      job.dependenciesDone(dependencies.readyAtMs(job.id()));
+      job.markReady(dependencies.readyAtMs(job.id()));
       arrivals.jobArrived(job.spec(), job.version() > termVersion, loop.now());
       onChange.run();
     }
@@ -108,7 +108,7 @@
 
   private void updatePriorities() {
     dependencies
-        .updatedPriorities()
+        .recomputeEffectivePriorities()
         .forEach(
             (id, priority) -> {
               Job job = jobs.get(id);
@@ -127,9 +127,9 @@
     }
     dependencies.remove(id);
     updatePriorities();
-    unsavedJobs.remove(job);
+    jobsWithUnsavedTasks.remove(job);
     completedJobs.remove(job);
-    awaitingLaunchWatermark.remove(job);
+    jobsAwaitingLaunchWatermark.remove(job);
     return job;
   }
 
@@ -139,24 +139,24 @@
   void finishedTasksSaved(Job job, BitSet tasks) {
     job.finishedTasksSaved(tasks);
     if (!job.hasUnsavedTasks()) {
-      unsavedJobs.remove(job);
+      jobsWithUnsavedTasks.remove(job);
     }
   }
 
   /** Jobs with finished tasks that the state service does not know of yet; a live view. */
-  Set<Job> unsavedJobs() {
-    return unsavedJobs;
+  Set<Job> jobsWithUnsavedTasks() {
+    return jobsWithUnsavedTasks;
   }
 
   /** Jobs with placed tasks that are launched once a higher launch watermark is written. */
-  Set<Job> awaitingLaunchWatermark() {
-    return awaitingLaunchWatermark;
+  Set<Job> jobsAwaitingLaunchWatermark() {
+    return jobsAwaitingLaunchWatermark;
   }
 
   /** The state service knows that tasks of the job up to this one may have been launched. */
   void launchWatermarkSaved(Job job, int watermark) {
     if (job.launchWatermarkSaved(watermark)) {
-      awaitingLaunchWatermark.remove(job);
+      jobsAwaitingLaunchWatermark.remove(job);
     }
   }
 
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -349,7 +349,7 @@
             new PlacedTask(
                 attempt.task(),
                 Objects.requireNonNull(attempt.job(), "of a schedulable machine"),
-                attempt.stopping(),
+                attempt.isStopping(),
                 attempt.runningSince(),
                 attempt.isExemptFromPreemption()));
       }
--- a/src/main/java/org/saffronshore/cluster/Reconciliation.java
+++ b/src/main/java/org/saffronshore/cluster/Reconciliation.java
@@ -52,7 +52,7 @@
 
   /** Whether tasks of the job may be on unreconciled machines: it is older than this term. */
   boolean mayRunOnUnreconciled(Job job) {
-    return !unreconciled.isEmpty() && jobs.isOlderThanTerm(job);
+    return !unreconciled.isEmpty() && jobs.wasAcceptedBeforeTerm(job);
   }
 
   /** Whether a task of the job may be on an unreconciled machine, in a zone that is not known. */
@@ -60,7 +60,7 @@
     if (!mayRunOnUnreconciled(job)) {
       return false;
     }
-    BitSet tasks = job.launchedOnUnreconciled();
+    BitSet tasks = job.tasksPossiblyOnUnreconciledMachines();
     return !tasks.isEmpty()
         && unreconciled.stream()
             .anyMatch(machine -> machine.possibleTasks().includeAny(job, tasks));
--- a/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
+++ b/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
@@ -10,7 +10,7 @@
  */
 final class RuntimeEstimator {
   /** Owners' estimates are trusted until about this much running time of a class was seen. */
-  private static final double PRIOR_RUNS_S = 200;
+  private static final double PRIOR_WEIGHT_S = 200;
 
   /** A task that outlasts its estimate is expected to run on for this part of it. */
   private static final double OVERRUN_DIVISOR = 5;
@@ -43,11 +43,11 @@
     return job.estimatedRuntimeS()
         * (observed == null
             ? 1
-            : (observed.actualS + PRIOR_RUNS_S) / (observed.estimatedS + PRIOR_RUNS_S));
+            : (observed.actualS + PRIOR_WEIGHT_S) / (observed.estimatedS + PRIOR_WEIGHT_S));
   }
 
   /** A task has completed: what it took says something of others of its class. */
-  void learn(Attempt attempt, double now) {
+  void attemptCompleted(Attempt attempt, double now) {
     JobSpec job = attempt.job();
     if (job != null && !Double.isNaN(attempt.runningSince()) && attempt.wasObservedFromStart()) {
       ObservedRuntimes observed =
--- a/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
@@ -90,7 +90,7 @@
           new Attempt(
               task, status.attempt(), machine, job == null ? null : job.spec(), loop.now(), false);
       if (exited) {
-        exited(attempt, status.exitReason(), job);
+        handleExit(attempt, status.exitReason(), job);
         return;
       }
       adopt(attempt, job);
@@ -99,10 +99,10 @@
       unresponsiveMachines.markResponsive(machine);
     }
     switch (status.state()) {
-      case PULLING_IMAGE -> attempt.pullingImage();
-      case RUNNING -> running(attempt, openJob);
-      case CHECKPOINTING -> attempt.checkpointing();
-      default -> exited(attempt, status.exitReason(), job);
+      case PULLING_IMAGE -> attempt.markPullingImage();
+      case RUNNING -> handleRunning(attempt, openJob);
+      case CHECKPOINTING -> attempt.markCheckpointing();
+      default -> handleExit(attempt, status.exitReason(), job);
     }
   }
 
@@ -111,11 +111,11 @@
     return known != null && known.number() == status.attempt();
   }
 
-  private void running(Attempt attempt, @Nullable Job job) {
+  private void handleRunning(Attempt attempt, @Nullable Job job) {
     if (attempt.state() == Attempt.State.RUNNING) {
       return;
     }
-    attempt.running(loop.now(), attempts.isOfThisTerm(attempt));
+    attempt.markRunning(loop.now(), attempts.wasPlacedInThisTerm(attempt));
     if (job != null) {
       job.markStarted();
     }
@@ -125,7 +125,7 @@
   /** An earlier leader has left a task on a machine. */
   private void adopt(Attempt attempt, @Nullable Job job) {
     Attempt replaced = attempt.machine().adoptAttempt(attempt);
-    attempt.adopted();
+    attempt.markAdopted();
     if (job == null) {
       attempts.stopNow(attempt, StopReason.JOB_ENDED);
       return;
@@ -152,7 +152,7 @@
       }
       Attempt kept = job.placedAttemptAt(index);
       for (Attempt other : job.attemptsAt(index)) {
-        if (kept != null && other != kept && isCertain(other) && isCertain(kept)) {
+        if (kept != null && other != kept && isConfirmed(other) && isConfirmed(kept)) {
           LOG.warn(
               "Task on two machines: task={} machine={} stopped_machine={} stopped_attempt={}",
               other.task(),
@@ -166,23 +166,23 @@
   }
 
   /** Whether it is certain to be on its machine, and is to stay there. */
-  private static boolean isCertain(Attempt attempt) {
-    return attempt.machine().isReconciled() && !attempt.stopping();
+  private static boolean isConfirmed(Attempt attempt) {
+    return attempt.machine().isReconciled() && !attempt.isStopping();
   }
 
-  private void exited(Attempt attempt, Heartbeat.ExitReason reason, @Nullable Job job) {
+  private void handleExit(Attempt attempt, Heartbeat.ExitReason reason, @Nullable Job job) {
     Machine machine = attempt.machine();
-    boolean wasStopping = attempt.stopping();
+    boolean wasStopping = attempt.isStopping();
     boolean wasOnMachine = attempt.isOnMachine();
-    attempt.exited();
+    attempt.markExited();
     machine.tasks().addExited(attempt);
     onChange.run();
     if (job != null && reason == Heartbeat.ExitReason.COMPLETED) {
-      completed(attempt, job);
+      handleCompletion(attempt, job);
     }
     attempts.end(attempt);
     if (wasOnMachine && reason == Heartbeat.ExitReason.FAILED && !wasStopping && job != null) {
-      failed(attempt, job);
+      handleFailure(attempt, job);
     } else if (wasOnMachine && REFUSALS.contains(reason)) {
       LOG.debug(
           "Task refused: task={} machine={} attempt={} reason={}",
@@ -194,12 +194,12 @@
     }
   }
 
-  private void completed(Attempt attempt, Job job) {
+  private void handleCompletion(Attempt attempt, Job job) {
     int index = attempt.task().index();
     attempt.markCompleted();
-    runtimeEstimator.learn(attempt, loop.now());
+    runtimeEstimator.attemptCompleted(attempt, loop.now());
     if (job.finishTask(index)) {
-      (job.isComplete() ? jobs.completedJobs() : jobs.unsavedJobs()).add(job);
+      (job.isComplete() ? jobs.completedJobs() : jobs.jobsWithUnsavedTasks()).add(job);
       for (Attempt other : job.attemptsAt(index)) {
         if (other != attempt) {
           attempts.stopNow(other, StopReason.TASK_FINISHED);
@@ -214,7 +214,7 @@
    * Tells a bad machine, which fails whatever it is given, from a bad job, which fails wherever it
    * runs.
    */
-  private void failed(Attempt attempt, Job job) {
+  private void handleFailure(Attempt attempt, Job job) {
     Machine machine = attempt.machine();
     double now = loop.now();
     if (job.taskFailedOn(machine.id())) {
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -150,7 +150,7 @@
     metrics.gauge("open_jobs", () -> leader == null ? 0 : leader.cluster().jobs().size());
     metrics.gauge(
         "jobs_waiting_for_others",
-        () -> leader == null ? 0 : leader.cluster().dependencies().waitingCount());
+        () -> leader == null ? 0 : leader.cluster().dependencies().waitingJobCount());
   }
 
   // Parts that tests look at
@@ -309,6 +309,6 @@
         cluster.jobs().size(),
         cluster.machines().size(),
         cluster.unreconciledCount(),
-        cluster.dependencies().waitingCount());
+        cluster.dependencies().waitingJobCount());
   }
 }
--- a/src/main/java/org/saffronshore/failover/DependencyResolver.java
+++ b/src/main/java/org/saffronshore/failover/DependencyResolver.java
@@ -54,12 +54,12 @@
 
   /** Starts the reads and writes that are due. */
   void resolve() {
-    List<String> unresolved = cluster.dependencies().unresolved();
+    List<String> unresolved = cluster.dependencies().jobsWithUnknownOutcome();
     if (!readInFlight && !unresolved.isEmpty()) {
       readInFlight = true;
       store.readOutcomes(unresolved, this::outcomesRead);
     }
-    for (String id : cluster.dependencies().cancelledJobs()) {
+    for (String id : cluster.dependencies().jobsToCancel()) {
       Job job = cluster.job(id);
       if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
         break;
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void statusInCommandResponseRenewsNoLease() {
+  void statusInCommandResponseDoesNotRenewLease() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -102,7 +102,7 @@
   /** For how long it was known when the list was requested, and whether the list removes it. */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
-  void machineIsRemovedOnlyByListRequestedWellAfterItWasKnown(double age, boolean removed) {
+  void machineIsRemovedOnlyByListRequestedWellAfterItBecameKnown(double age, boolean removed) {
     job(101);
     Machine machine = up("host-1");
     launch(machine);
@@ -138,7 +138,7 @@
         "UNKNOWN_TASK",
         "COMPLETED"
       })
-  void taskIsFinishedOnlyWhenItsExitReasonIsCompleted(ExitReason reason) {
+  void taskIsFinishedOnlyWhenExitReasonIsCompleted(ExitReason reason) {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void machineThatFailsJobsIsQuarantinedAndJobThatFailsOnMachinesBacksOff() {
+  void machineThatFailsManyJobsIsQuarantinedAndJobThatFailsOnManyMachinesBacksOff() {
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
--- a/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
+++ b/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
@@ -69,7 +69,7 @@
     open.removeIf(job -> !jobs.matches("(.*, )?" + job + " .*") || ends.contains(job));
     open.removeIf(job -> !graph.isReady(job));
     assertEquals(ready, sorted(open));
-    assertEquals(unknown, sorted(graph.unresolved()));
+    assertEquals(unknown, sorted(graph.jobsWithUnknownOutcome()));
   }
 
   @ParameterizedTest
@@ -80,10 +80,10 @@
     "'a i, b i a', 'a+', ''",
     "'b i a, c i b', 'a-', 'b c'"
   })
-  void jobIsCancelledWithAnyOfItsDependencies(String jobs, String ends, String cancelled) {
+  void jobIsCancelledWhenAnyDependencyIsCancelled(String jobs, String ends, String cancelled) {
     add(jobs);
     end(ends);
-    assertEquals(cancelled, sorted(graph.cancelledJobs()));
+    assertEquals(cancelled, sorted(graph.jobsToCancel()));
   }
 
   /** Later jobs raise those before them, and no longer once they are over. */
@@ -95,40 +95,41 @@
     "'a i, b i, c u b', '', 'a=IDLE b=URGENT c=URGENT'",
     "'a i, b i a, c i a, d s b, e u c', '', 'a=URGENT b=STANDARD c=URGENT d=STANDARD e=URGENT'"
   })
-  void priorityOfJobIsTheHighestOfItsDependents(String jobs, String ends, String priorities) {
+  void effectivePriorityIsHighestOfJobAndItsDependents(
+      String jobs, String ends, String priorities) {
     add(jobs);
-    graph.updatedPriorities();
+    graph.recomputeEffectivePriorities();
     end(ends);
     add("z i");
-    Map<String, Priority> all = new TreeMap<>(graph.updatedPriorities());
+    Map<String, Priority> all = new TreeMap<>(graph.recomputeEffectivePriorities());
     if (all.isEmpty()) {
       add("y i z");
-      all.putAll(graph.updatedPriorities());
+      all.putAll(graph.recomputeEffectivePriorities());
     }
     all.keySet().removeIf(job -> job.compareTo("y") >= 0);
     assertEquals(priorities, all.toString().replaceAll("[{},]", ""));
-    assertTrue(graph.updatedPriorities().isEmpty(), "nothing has changed since");
+    assertTrue(graph.recomputeEffectivePriorities().isEmpty(), "nothing has changed since");
   }
 
   @Test
-  void readyTimeIsThatOfTheLastDependency() {
+  void readyTimeIsLatestCompletionTimeOfDependencies() {
     add("a i, b i, c u a b");
     end("b+ a+");
     assertEquals(1000 * 'b', graph.readyAtMs("c"));
-    assertEquals(0, graph.waitingCount());
+    assertEquals(0, graph.waitingJobCount());
   }
 
   /** As deep and as wide as users may make it: no recursion, and each job is looked at once. */
   @Test
-  void deepAndWideGraphsAreProcessedWithoutRecursion() {
+  void deepAndWideGraphIsProcessedWithoutRecursion() {
     int jobs = 20_000;
     for (int i = 1; i < jobs; i++) {
       graph.add("j" + i, i == jobs - 1 ? Priority.CRITICAL : Priority.IDLE, List.of("j" + (i - 1)));
       graph.add("w" + i, Priority.IDLE, List.of("j0"));
     }
-    assertEquals(Priority.CRITICAL, graph.updatedPriorities().get("j1"));
+    assertEquals(Priority.CRITICAL, graph.recomputeEffectivePriorities().get("j1"));
     graph.jobEnded("j0", false, 0);
-    assertEquals(2 * (jobs - 1), graph.cancelledJobs().size());
+    assertEquals(2 * (jobs - 1), graph.jobsToCancel().size());
     assertFalse(graph.isReady("j1"));
   }
 }
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -140,7 +140,7 @@
     cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, old));
     cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, now));
     Machine second = machine("host-2");
-    assertFalse(second.attempts().iterator().next().stopping());
+    assertFalse(second.attempts().iterator().next().isStopping());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 90, TERM));
     assertFalse(placeable(), "it runs on host-2");
     assertEquals(1, openJob("wk-1").runningTaskCount());
@@ -163,7 +163,7 @@
     assertEquals(
         1,
         List.of(first, second).stream()
-            .filter(machine -> machine.attempts().iterator().next().stopping())
+            .filter(machine -> machine.attempts().iterator().next().isStopping())
             .count());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 6, TERM));
     assertFalse(placeable());
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void newEpochEndsAttemptWhoseLaunchWasLost() {
+  void newEpochEndsAttemptWithLostLaunch() {
     job(101);
     Machine machine = up("host-1");
     cluster.batchCompleted(launch(machine), DeliveryOutcome.UNKNOWN, null);
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -43,7 +43,7 @@
     cluster.heartbeatReceived(
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 1, 51, TERM, 14.0, List.of(running)));
-    assertEquals(stopped, machine.attempts().iterator().next().stopping());
+    assertEquals(stopped, machine.attempts().iterator().next().isStopping());
     assertFalse(machine.isSchedulable(loop.now()));
   }
 
