--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void machineThatFailsManyJobsIsQuarantinedAndJobThatFailsOnManyMachinesBacksOff() {
+  void machineWithConsecutiveFailuresIsQuarantinedAndJobFailingOnSeveralMachinesBacksOff() {
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
