--- a/src/main/java/org/saffronshore/cluster/Attempt.java
+++ b/src/main/java/org/saffronshore/cluster/Attempt.java
@@ -5,13 +5,14 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * One try at a task on one machine, from the decision to start it until nothing of it can run any
- * more.
+ * An attempt to run a task on one machine. It exists from the decision to launch it until it is
+ * certain that it does not run and cannot start any more.
  */
 public final class Attempt {
 
-  /** LAUNCHING: no heartbeat has shown it yet. */
+  /** The state of an attempt as last reported by its worker. */
   public enum State {
+    /** No status of the worker has shown the attempt yet. */
     LAUNCHING,
     PULLING_IMAGE,
     RUNNING,
@@ -25,33 +26,47 @@
   private final double createdAt;
   private final boolean exemptFromPreemption;
 
-  /** Null when the job was over before this leader learned what the task takes of its machine. */
+  /**
+   * The job's specification; null if no open job had the task when this leader learned of the
+   * attempt, so that it is not known which resources the task uses.
+   */
   private @Nullable JobSpec job;
 
   private State state = State.LAUNCHING;
   private boolean completed;
 
-  private boolean isStopping;
+  private boolean stopping;
   private double gracePeriodS;
   private double stopSentAt = Double.NEGATIVE_INFINITY;
 
-  /** Whether a launch has ever been handed to the network. */
+  /**
+   * Whether a launch of the attempt has been sent, by any leader. Becomes false again if it is
+   * certain that no launch was executed or can still arrive.
+   */
   private boolean launchSent;
 
-  /** Launches that were sent and whose outcome is not known yet. */
+  /** The number of launches sent in direct commands whose outcome is not known yet. */
   private int launchesInFlight;
 
-  /** A launch was lost: it may arrive at any time as long as token and epoch match. */
+  /**
+   * Whether a launch was sent without it being known whether it arrived: it may still arrive as
+   * long as the fencing token and the worker's epoch match.
+   */
   private boolean deliveryUnknown;
 
+  /** Time in seconds; NaN until this leader has seen the attempt run. */
   private double runningSince = Double.NaN;
 
-  /** Whether this leader launched it, and so knows for how long it has run. */
+  /** Whether this leader placed the attempt, and thus knows how long it has been running. */
   private boolean observedFromStart;
 
   /**
-   * @param exemptFromPreemption whether it is not stopped for others: its job was overdue and would
-   *     never get going otherwise
+   * Creates an attempt of which no launch has been sent.
+   *
+   * @param number unique among all attempts of all terms
+   * @param createdAt the current time in seconds
+   * @param exemptFromPreemption whether the attempt is never preempted for another task. This lets
+   *     an overdue job start, which it might never do otherwise.
    */
   Attempt(
       TaskId task,
@@ -80,12 +95,15 @@
     return machine;
   }
 
-  /** Null when the job was over before this leader learned of the attempt. */
+  /**
+   * Returns the specification of the attempt's job, or null if no open job had the task when this
+   * leader learned of the attempt.
+   */
   public @Nullable JobSpec job() {
     return job;
   }
 
-  /** The effective priority of its job has changed. */
+  /** Replaces the job's specification after a change of its effective priority. */
   void updateJob(JobSpec newSpec) {
     job = newSpec;
   }
@@ -98,7 +116,7 @@
     return exemptFromPreemption;
   }
 
-  /** Whether the machine still counts it among its attempts. */
+  /** Returns whether the attempt is still among the attempts of its machine. */
   boolean isOnMachine() {
     return machine.tasks().attemptAt(task) == this;
   }
@@ -113,16 +131,22 @@
     return state == State.LAUNCHING;
   }
 
-  /** Whether it runs; saving its progress counts. */
+  /** Returns whether the attempt is running, which includes saving a checkpoint. */
   boolean isRunningOrCheckpointing() {
     return state == State.RUNNING || state == State.CHECKPOINTING;
   }
 
-  /** When this leader first saw it run; NaN as long as it did not. */
+  /**
+   * Returns when this leader saw the attempt change to {@link State#RUNNING}, in seconds; NaN if it
+   * has not. A change back from {@link State#CHECKPOINTING} starts the time anew.
+   */
   public double runningSince() {
     return runningSince;
   }
 
+  /**
+   * Returns whether this leader placed the attempt, and thus knows how long it has been running.
+   */
   boolean wasObservedFromStart() {
     return observedFromStart;
   }
@@ -131,10 +155,15 @@
     state = State.PULLING_IMAGE;
   }
 
-  void markRunning(double now, boolean launchedInThisTerm) {
+  /**
+   * Marks the attempt as running from now on.
+   *
+   * @param placedInThisTerm whether this leader placed it, rather than an earlier one
+   */
+  void markRunning(double now, boolean placedInThisTerm) {
     state = State.RUNNING;
     runningSince = now;
-    observedFromStart = launchedInThisTerm;
+    observedFromStart = placedInThisTerm;
   }
 
   void markCheckpointing() {
@@ -145,7 +174,7 @@
     state = State.EXITED;
   }
 
-  /** The task is finished by this attempt. */
+  /** Marks the task as completed by this attempt. */
   void markCompleted() {
     completed = true;
   }
@@ -156,17 +185,18 @@
 
   // Stopping
 
+  /** Returns whether the attempt is to be stopped. */
   public boolean isStopping() {
-    return isStopping;
+    return stopping;
   }
 
   double gracePeriodS() {
     return gracePeriodS;
   }
 
-  /** Asks for a stop, which is to be sent without delay even if one was sent before. */
+  /** Requests a stop. The stop command is due at once, even if an earlier one was sent. */
   void requestStop(double graceS) {
-    isStopping = true;
+    stopping = true;
     gracePeriodS = graceS;
     stopSentAt = Double.NEGATIVE_INFINITY;
   }
@@ -175,53 +205,57 @@
     stopSentAt = now;
   }
 
+  /** Returns whether a stop command is to be sent, for the first time or after the interval. */
   boolean isStopDue(double now, double repeatAfterS) {
-    return isStopping && now >= stopSentAt + repeatAfterS;
+    return stopping && now >= stopSentAt + repeatAfterS;
   }
 
-  // Delivery of its launch
+  // Launch delivery
 
   boolean isLaunchSent() {
     return launchSent;
   }
 
+  /** Returns whether the outcome of a direct command with the launch is still to come. */
   boolean isLaunchInFlight() {
     return launchesInFlight > 0;
   }
 
+  /** Returns whether a launch was sent without it being known whether it arrived. */
   boolean isDeliveryUnknown() {
     return deliveryUnknown;
   }
 
   /**
-   * Whether a launch may still reach the worker; to forget the attempt then would let it start
-   * anew.
+   * Returns whether a launch may still reach the worker. While this is so, the worker must not
+   * forget the attempt, since a late launch would start it again.
    */
   boolean launchMayArrive() {
     return deliveryUnknown || launchesInFlight > 0;
   }
 
-  /** A worker shows the attempt: some leader has sent its launch. */
+  /** Marks an attempt that a worker has reported as launched by an earlier leader. */
   void markAdopted() {
     launchSent = true;
   }
 
-  /** A direct command with its launch is sent. */
+  /** A direct command with the launch has been sent. */
   void launchSent() {
     launchSent = true;
     launchesInFlight++;
   }
 
-  /** Its launch is sent in a response to a heartbeat, of which nobody learns whether it arrives. */
+  /** The launch is sent in a response to a heartbeat, whose arrival is never confirmed. */
   void launchSentWithoutConfirmation() {
     launchSent = true;
     deliveryUnknown = true;
   }
 
   /**
-   * What became of a direct command with its launch is known.
+   * A direct command with the launch has completed.
    *
-   * @return whether no launch of it was ever delivered, or can be, so that it counts as not sent
+   * @return whether no launch of the attempt was executed or can still arrive, so that the launch
+   *     now counts as not sent
    */
   boolean launchCompleted(DeliveryOutcome outcome) {
     launchesInFlight--;
--- a/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
@@ -10,11 +10,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Places attempts at tasks on machines, stops them and ends them. */
+/** Places attempts on machines, requests their stop and removes those that have ended. */
 final class AttemptLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
 
-  /** The numbers of a term's attempts begin with the term, so that no two terms share any. */
+  /**
+   * The number of low bits of an attempt number that count the attempts of one term. The bits above
+   * hold the term, so that attempt numbers are unique across terms.
+   */
   private static final int TERM_SHIFT = 24;
 
   private final EventLoop loop;
@@ -25,7 +28,7 @@
   private final CommandQueue commandQueue;
   private final RuntimeEstimator runtimeEstimator;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Invoked after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   private long attemptCounter;
@@ -49,15 +52,18 @@
     this.onChange = onChange;
   }
 
-  /** Whether this term has placed the attempt. */
+  /** Returns whether the leader of this term placed the attempt, rather than an earlier one. */
   boolean wasPlacedInThisTerm(Attempt attempt) {
     return attempt.number() >> TERM_SHIFT == term;
   }
 
   /**
-   * Starts an attempt at a task on a machine, if both are still free for that.
+   * Places a task on a machine, if the task is still waiting and the machine still schedulable. The
+   * launch is queued at once if the launch watermark covers the task, and otherwise follows once a
+   * higher watermark has been written.
    *
-   * @param overdue whether the task is not to be preempted
+   * @param overdue whether the job is overdue, which exempts the attempt from preemption
+   * @return the new attempt, or empty if none was placed
    */
   Optional<Attempt> place(TaskId task, String machineId, boolean overdue) {
     Machine machine = machines.get(machineId);
@@ -82,7 +88,9 @@
     return Optional.of(attempt);
   }
 
-  /** The attempt's machine has its image, or is going to pull it. */
+  /**
+   * Records in the machine's image cache that the attempt uses, and if necessary pulls, its image.
+   */
   void recordImageUse(Attempt attempt) {
     MachineType type = machines.typeOf(attempt.machine());
     JobSpec job = attempt.job();
@@ -91,7 +99,9 @@
     }
   }
 
-  /** Stops a task for another one, with time to save its progress where it can. */
+  /**
+   * Preempts a task in favour of another one, with time to save a checkpoint if it supports them.
+   */
   void preempt(TaskId task, String machineId, String detail) {
     Machine machine = machines.get(machineId);
     Attempt attempt = machine == null ? null : machine.tasks().attemptAt(task);
@@ -100,16 +110,20 @@
     }
   }
 
-  /** Stops a task, with time to save its progress where it can. */
+  /** Stops an attempt, with time to save a checkpoint if its job supports them. */
   private void stopGracefully(Attempt attempt, StopReason reason) {
     stop(attempt, gracePeriodS(attempt), reason, reason.description());
   }
 
-  /** Stops an attempt without delay: its progress is of no use. */
+  /** Stops an attempt without a grace period, since its progress is no longer needed. */
   void stopNow(Attempt attempt, StopReason reason) {
     stop(attempt, 0, reason, reason.description());
   }
 
+  /**
+   * Returns how long a stopped attempt may take to save a checkpoint; 0 if its job does not support
+   * checkpoints.
+   */
   private double gracePeriodS(Attempt attempt) {
     JobSpec job = attempt.job();
     return job != null && job.supportsCheckpoints()
@@ -117,7 +131,10 @@
         : 0;
   }
 
-  /** A later stop changes an earlier one only when it leaves less time. */
+  /**
+   * Requests that an attempt be stopped. If it is already stopping, the new request only takes
+   * effect if it shortens the grace period.
+   */
   private void stop(Attempt attempt, double graceS, StopReason reason, String detail) {
     if (!attempt.isStopping()) {
       LOG.debug(
@@ -139,7 +156,7 @@
     }
   }
 
-  /** Stops all attempts of a job that is over. */
+  /** Stops all attempts of a job that has ended. */
   void stopAll(Job job) {
     for (Attempt attempt : new ArrayList<>(job.placedAttempts())) {
       stopNow(attempt, StopReason.JOB_ENDED);
@@ -150,9 +167,13 @@
   }
 
   /**
-   * The cloud is going to take a machine back: tasks that save their progress do so now, and others
-   * that cannot end in time start elsewhere at once. The notice may be off by half, so only what
-   * needs clearly less is left to run to its end.
+   * Stops those attempts that should not wait for the cloud to reclaim their machine. The notice
+   * may be off by half. A task that supports checkpoints therefore keeps running only if it is
+   * expected to complete within half of the notice; otherwise it saves a checkpoint now. Any other
+   * task loses its progress when stopped, and is restarted elsewhere at once only if it is expected
+   * to need more than one and a half times the notice.
+   *
+   * @param noticeS seconds until the cloud reclaims the machine, as announced
    */
   void handlePreemptionNotice(Machine machine, double noticeS) {
     double now = loop.now();
@@ -162,15 +183,15 @@
         continue;
       }
       double remainingS = runtimeEstimator.remainingRuntimeS(job, attempt.runningSince(), now);
-      boolean tooLong =
+      boolean unlikelyToComplete =
           job.supportsCheckpoints() ? remainingS > noticeS / 2 : remainingS > noticeS * 3 / 2;
-      if (tooLong) {
+      if (unlikelyToComplete) {
         stopGracefully(attempt, StopReason.PREEMPTION_NOTICE);
       }
     }
   }
 
-  /** Stops all tasks of a machine, with time to save their progress, so that they go elsewhere. */
+  /** Stops all attempts on a machine gracefully, so that their tasks are placed elsewhere. */
   void drain(Machine machine) {
     machine.markDraining();
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
@@ -179,8 +200,8 @@
   }
 
   /**
-   * Nothing of the attempt runs or can come to run: the task may be placed again unless it is
-   * finished.
+   * Removes an attempt that is not running and can no longer start. Its task may be placed again
+   * unless it is finished or has another attempt.
    */
   void end(Attempt attempt) {
     attempt.machine().removeAttempt(attempt, loop.now());
--- a/src/main/java/org/saffronshore/cluster/DependencyGraph.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -13,50 +13,59 @@
 import org.saffronshore.wire.Priority;
 
 /**
- * Which open jobs depend on which others, and what is known of how those ended: which are ready,
- * which are cancelled together, and which priority counts. Knows nothing of tasks, machines or the
- * state service.
+ * The dependencies of the open jobs and the known outcomes of the jobs that they depend on. From
+ * these it derives which jobs are ready, which have to be cancelled, and their effective
+ * priorities. It is independent of tasks, machines and the state service.
  */
 public final class DependencyGraph {
 
-  /** An open job with its own priority. */
+  /** An open job, with the priority that it was submitted with. */
   private record OpenJob(Priority ownPriority, List<String> dependencies) {}
 
-  /** How a job ended that others depend on, and at which time of day; done, or cancelled. */
+  /**
+   * How and when a job ended that others depend on.
+   *
+   * @param done whether the job is done; false if it was cancelled
+   * @param atMs wall-clock time in milliseconds
+   */
   private record Outcome(boolean done, long atMs) {}
 
   private final Map<String, OpenJob> openJobs = new LinkedHashMap<>();
 
-  /** Open jobs that depend on a job, directly. */
+  /** Open jobs by each job that they directly depend on. */
   private final Map<String, Set<String>> dependents = new HashMap<>();
 
+  /** Known outcomes of the jobs that open jobs depend on. */
   private final Map<String, Outcome> outcomes = new HashMap<>();
 
-  /** Whether other priorities may count since the last {@link #recomputeEffectivePriorities}. */
+  /**
+   * Whether effective priorities may have changed since the last {@link
+   * #recomputeEffectivePriorities}.
+   */
   private boolean prioritiesStale;
 
   /**
-   * Adds an open job. For one without dependencies only the priority counts, should others depend
-   * on it.
+   * Adds an open job. Of a job without dependencies, only the priority matters, in case other jobs
+   * depend on it.
    */
   public void add(String job, Priority ownPriority, List<String> dependencies) {
     openJobs.put(job, new OpenJob(ownPriority, dependencies));
     for (String dependency : dependencies) {
-      dependents.computeIfAbsent(dependency, name -> new LinkedHashSet<>()).add(job);
+      dependents.computeIfAbsent(dependency, id -> new LinkedHashSet<>()).add(job);
     }
     prioritiesStale |= !dependencies.isEmpty() || dependents.containsKey(job);
   }
 
-  /** The job is not open any more; how it ended may not be known yet. */
+  /** Removes a job that is no longer open. Its outcome may not be known yet. */
   public void remove(String job) {
-    OpenJob entry = openJobs.remove(job);
-    if (entry == null) {
+    OpenJob openJob = openJobs.remove(job);
+    if (openJob == null) {
       return;
     }
-    for (String dependency : entry.dependencies) {
+    for (String dependency : openJob.dependencies) {
       removeDependent(dependency, job);
     }
-    prioritiesStale |= !entry.dependencies.isEmpty();
+    prioritiesStale |= !openJob.dependencies.isEmpty();
   }
 
   private void removeDependent(String dependency, String job) {
@@ -71,17 +80,22 @@
     }
   }
 
-  /** How a job ended; kept as long as an open job depends on it. */
-  public void jobEnded(String job, boolean done, long atMs) {
+  /**
+   * Records how a job ended. The outcome is kept as long as an open job depends on it.
+   *
+   * @param done whether the job is done; false if it was cancelled
+   * @param endedAtMs wall-clock time in milliseconds
+   */
+  public void jobEnded(String job, boolean done, long endedAtMs) {
     if (dependents.containsKey(job)) {
-      outcomes.putIfAbsent(job, new Outcome(done, atMs));
+      outcomes.putIfAbsent(job, new Outcome(done, endedAtMs));
     }
   }
 
-  /** Whether all its dependencies are known to be done. */
+  /** Returns whether all dependencies of a job are known to be done. */
   public boolean isReady(String job) {
-    OpenJob entry = openJobs.get(job);
-    return entry == null || entry.dependencies.stream().allMatch(this::isDone);
+    OpenJob openJob = openJobs.get(job);
+    return openJob == null || openJob.dependencies.stream().allMatch(this::isDone);
   }
 
   private boolean isDone(String job) {
@@ -89,13 +103,16 @@
     return outcome != null && outcome.done;
   }
 
-  /** Time of day at which its last dependency was done; 0 when it has none. */
+  /**
+   * Returns the wall-clock time of the latest known end of a job's dependencies, in milliseconds; 0
+   * if the end of none is known.
+   */
   public long readyAtMs(String job) {
-    OpenJob entry = openJobs.get(job);
-    if (entry == null) {
+    OpenJob openJob = openJobs.get(job);
+    if (openJob == null) {
       return 0;
     }
-    return entry.dependencies.stream()
+    return openJob.dependencies.stream()
         .map(outcomes::get)
         .filter(Objects::nonNull)
         .mapToLong(Outcome::atMs)
@@ -103,19 +120,21 @@
         .orElse(0);
   }
 
-  /** Open jobs that depend on the job, directly. */
+  /** Returns the open jobs that directly depend on a job. */
   public Collection<String> dependents(String job) {
     return new ArrayList<>(dependents.getOrDefault(job, Set.of()));
   }
 
-  /** Jobs that others depend on, that are not open, and of which the outcome is not known. */
+  /** Returns the jobs that open jobs depend on, that are not open, and whose outcome is unknown. */
   public List<String> jobsWithUnknownOutcome() {
     return dependents.keySet().stream()
         .filter(job -> !openJobs.containsKey(job) && !outcomes.containsKey(job))
         .toList();
   }
 
-  /** Open jobs to be cancelled, since a dependency was, directly or through others. */
+  /**
+   * Returns the open jobs to be cancelled, since a direct or transitive dependency was cancelled.
+   */
   public List<String> jobsToCancel() {
     Set<String> cancelled = new LinkedHashSet<>();
     ArrayDeque<String> pending = new ArrayDeque<>();
@@ -136,9 +155,9 @@
   }
 
   /**
-   * The priority that counts of each open job: the highest of its own and of those that depend on
-   * it, directly or through others. In one pass over the graph; empty when nothing has changed
-   * since the last.
+   * Returns the effective priority of each open job: the highest of its own priority and those of
+   * its direct and transitive dependents. The priorities are computed in one pass over the graph,
+   * and only if they may have changed since the last call; otherwise the map is empty.
    */
   public Map<String, Priority> recomputeEffectivePriorities() {
     Map<String, Priority> priorities = new HashMap<>();
@@ -150,16 +169,18 @@
   }
 
   /**
-   * Adds the priorities of a job and of all that depend on it. Deep chains must not use up the call
-   * stack, so what has to be known first is put before the job that depends on it.
+   * Computes the effective priorities of a job and all its dependents into {@code known}. Uses an
+   * explicit stack instead of recursion, since deep dependency chains would overflow the call
+   * stack: a job stays on the stack until the priorities of its dependents, which are pushed above
+   * it, are known.
    */
-  private void computeEffectivePriority(String from, Map<String, Priority> known) {
+  private void computeEffectivePriority(String start, Map<String, Priority> known) {
     ArrayDeque<String> stack = new ArrayDeque<>();
-    stack.push(from);
+    stack.push(start);
     while (!stack.isEmpty()) {
       String job = stack.element();
-      OpenJob entry = openJobs.get(job);
-      Priority highest = entry == null ? Priority.IDLE : entry.ownPriority;
+      OpenJob openJob = openJobs.get(job);
+      Priority highest = openJob == null ? Priority.IDLE : openJob.ownPriority;
       boolean complete = true;
       for (String dependent : dependents.getOrDefault(job, Set.of())) {
         Priority priority = known.get(dependent);
@@ -177,7 +198,7 @@
     }
   }
 
-  /** How many open jobs wait for their dependencies. */
+  /** Returns the number of open jobs that wait for their dependencies. */
   public long waitingJobCount() {
     return openJobs.keySet().stream().filter(job -> !isReady(job)).count();
   }
--- a/src/main/java/org/saffronshore/cluster/Job.java
+++ b/src/main/java/org/saffronshore/cluster/Job.java
@@ -12,66 +12,76 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** An open job as the leader knows it. */
+/** The leader's state of one open job: its readiness, tasks, attempts and failures. */
 public final class Job {
-  /** A job that failed on this many machines in a row is itself at fault. */
+  /**
+   * A job whose tasks failed on this many machines, with none completing in between, is considered
+   * at fault itself.
+   */
   private static final int MAX_FAILED_MACHINES = 3;
 
-  /** After this many backoffs in a row they grow no longer. */
+  /** The number of consecutive backoffs after which the backoff no longer grows. */
   private static final int MAX_BACKOFFS = 6;
 
   /**
-   * With the priority that counts: the highest of its own and of the jobs that depend on it,
-   * directly or through others.
+   * The specification with the effective priority: the highest of the job's own priority and those
+   * of its direct and transitive dependents.
    */
   private JobSpec spec;
 
-  /** Version of the job's key: it is set once, so this is also when the job was accepted. */
+  /**
+   * Version of the job's key in the state service. The key is set once, so the version also tells
+   * when the job was accepted.
+   */
   private final long version;
 
   private final long submittedAtMs;
 
-  /** Whether all its dependencies are done; until then none of its tasks may start. */
+  /** Whether all dependencies of the job are done; until then none of its tasks may start. */
   private boolean ready = true;
 
-  /** Time of day at which the last of them was done. */
+  /** Wall-clock time at which the last dependency was done, in milliseconds. */
   private long readyAtMs;
 
-  /** Whether any task of it was seen to run. */
+  /** Whether a worker has reported a running task of the job in this term. */
   private boolean started;
 
   private boolean outcomeWriteInFlight;
 
-  // Its tasks
+  // Tasks
 
   private final BitSet finishedTasks;
 
-  /** Finished tasks that the state service knows of. */
+  /** Finished tasks that are stored in the state service. */
   private final BitSet savedFinishedTasks;
 
   private final BitSet waitingTasks = new BitSet();
   private final Map<Integer, Attempt> placedAttempts = new HashMap<>();
 
   /**
-   * Attempts beside the placed one at the same task. After a failover an unreconciled machine may
-   * show what is not there any more, so a task may seem to be in two places; it may run in either.
+   * Further attempts at tasks that already have a placed attempt. After a failover, the heartbeat
+   * of an unreconciled machine may show attempts that are no longer there, so a task may appear on
+   * two machines and may be running on either.
    */
   private final List<Attempt> duplicateAttempts = new ArrayList<>(0);
 
-  // How far its tasks may have been launched
+  // Launch watermarks
 
-  /** No task from this one on was launched before this term. */
+  /** Tasks with this index or a higher one were not launched before this term. */
   private final int inheritedLaunchWatermark;
 
-  /** Tasks below this one may be launched: the state service knows that they may have been. */
+  /**
+   * Tasks below this index may be launched, since the state service records that they may have
+   * been.
+   */
   private int launchWatermark;
 
-  /** The same once what is requested now is written. */
+  /** The launch watermark once all requested raises have been written. */
   private int requestedLaunchWatermark;
 
   // Failures
 
-  /** Machines on which a task of this job failed, since the last time one completed. */
+  /** Machines on which a task of this job has failed since a task of it last completed. */
   private final Set<String> failedMachineIds = new HashSet<>();
 
   private double backoffUntil = Double.NEGATIVE_INFINITY;
@@ -94,12 +104,12 @@
     return spec.id();
   }
 
-  /** With the priority that counts, which may be higher than its own. */
+  /** Returns the specification with the effective priority, which may exceed the submitted one. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** Version of the job's key in the state service. */
+  /** Returns the version of the job's key in the state service. */
   public long version() {
     return version;
   }
@@ -110,18 +120,27 @@
     return ready;
   }
 
-  /** It has dependencies, which are not known to be done. */
+  /** Marks the job as waiting for dependencies that are not known to be done. */
   void markNotReady() {
     ready = false;
   }
 
-  /** All its dependencies are done since a time of day. */
-  void markReady(long atMs) {
+  /**
+   * Marks all dependencies of the job as done.
+   *
+   * @param doneAtMs wall-clock time at which the last one was done, in milliseconds
+   */
+  void markReady(long doneAtMs) {
     ready = true;
-    readyAtMs = atMs;
+    readyAtMs = doneAtMs;
   }
 
-  /** For how long its tasks could have run, at a time of day; its dependencies are left out. */
+  /**
+   * Returns how long the job has been ready to run, in seconds: since its submission or, if later,
+   * since its last dependency was done. Returns 0 if the job is not ready.
+   *
+   * @param wallMs the current wall-clock time in milliseconds
+   */
   public double waitingTimeS(long wallMs) {
     return ready ? (wallMs - Math.max(submittedAtMs, readyAtMs)) / 1000.0 : 0;
   }
@@ -130,12 +149,12 @@
     started = true;
   }
 
-  /** Whether nothing of it has ever run, or may run now. */
+  /** Returns whether no task of the job is known to have run, and none has a placed attempt. */
   boolean hasNotStarted() {
     return !started && finishedTasks.isEmpty() && placedAttempts.isEmpty();
   }
 
-  /** From now on another priority counts, for its tasks that are on machines too. */
+  /** Changes the effective priority, also for the attempts that are already on machines. */
   void reprioritize(Priority priority) {
     spec = spec.withPriority(priority);
     for (Attempt attempt : placedAttempts.values()) {
@@ -150,12 +169,15 @@
 
   // Attempts
 
-  /** One for each task that is, or may be, somewhere; a live view. */
+  /**
+   * Returns one attempt for each task that is, or may be, on a machine. The collection is a live
+   * view.
+   */
   Collection<Attempt> placedAttempts() {
     return placedAttempts.values();
   }
 
-  /** Those beside the placed ones; a live view. */
+  /** Returns the attempts at tasks that also have a placed attempt. The list is a live view. */
   List<Attempt> duplicateAttempts() {
     return duplicateAttempts;
   }
@@ -164,7 +186,7 @@
     return placedAttempts.get(index);
   }
 
-  /** All attempts at a task that may be somewhere. */
+  /** Returns all attempts at a task that are, or may be, on a machine. */
   List<Attempt> attemptsAt(int index) {
     List<Attempt> all = new ArrayList<>(1);
     Attempt placed = placedAttempts.get(index);
@@ -179,7 +201,7 @@
     return all;
   }
 
-  /** One more attempt at a task is, or may be, somewhere. */
+  /** Adds an attempt that is, or may be, on a machine. */
   void addAttempt(Attempt attempt) {
     int index = attempt.task().index();
     if (placedAttempts.putIfAbsent(index, attempt) != null) {
@@ -189,24 +211,24 @@
   }
 
   /**
-   * The attempt is nowhere any more. The task waits again only when no other attempt at it may be
-   * somewhere.
+   * Removes an attempt that is no longer on any machine. The task becomes waiting again only if it
+   * is not finished and no other attempt at it may be on a machine.
    */
   void removeAttempt(Attempt attempt) {
     int index = attempt.task().index();
     if (!duplicateAttempts.remove(attempt) && placedAttempts.get(index) == attempt) {
       placedAttempts.remove(index);
-      List<Attempt> left = attemptsAt(index);
-      if (!left.isEmpty()) {
-        duplicateAttempts.remove(left.get(0));
-        placedAttempts.put(index, left.get(0));
+      List<Attempt> remaining = attemptsAt(index);
+      if (!remaining.isEmpty()) {
+        duplicateAttempts.remove(remaining.get(0));
+        placedAttempts.put(index, remaining.get(0));
       } else if (!finishedTasks.get(index)) {
         waitingTasks.set(index);
       }
     }
   }
 
-  /** How many tasks run or save their progress. */
+  /** Returns the number of tasks whose placed attempt is running or checkpointing. */
   public int runningTaskCount() {
     int running = 0;
     for (Attempt attempt : placedAttempts.values()) {
@@ -219,7 +241,10 @@
 
   // Waiting and finished tasks
 
-  /** Tasks that are neither finished nor, as far as messages have shown, somewhere. */
+  /**
+   * Returns the tasks that are not finished and of which this leader knows no attempt that may be
+   * on a machine.
+   */
   BitSet waitingTasks() {
     return waitingTasks;
   }
@@ -236,7 +261,7 @@
     return finishedTasks.get(index);
   }
 
-  /** A task has completed; false when that was known. */
+  /** Marks a task as finished. Returns false if it already was. */
   boolean finishTask(int index) {
     if (finishedTasks.get(index)) {
       return false;
@@ -250,7 +275,7 @@
     return finishedTasks.cardinality() == spec.tasks();
   }
 
-  /** Finished tasks that the state service knows of. */
+  /** Returns the finished tasks that are stored in the state service. */
   public BitSet savedFinishedTasks() {
     return savedFinishedTasks;
   }
@@ -267,25 +292,28 @@
     return outcomeWriteInFlight;
   }
 
-  public void outcomeWriteInFlight(boolean now) {
-    outcomeWriteInFlight = now;
+  public void outcomeWriteInFlight(boolean inFlight) {
+    outcomeWriteInFlight = inFlight;
   }
 
   // Launch watermark
 
-  /** Whether a task may be launched; if not, the watermark has to be written first. */
+  /**
+   * Returns whether a task may be launched. If not, a higher launch watermark has to be written
+   * first.
+   */
   boolean isLaunchable(int index) {
     return index < launchWatermark;
   }
 
-  /** Tasks below this one may be launched. */
+  /** Returns the launch watermark: tasks below this index may be launched. */
   int launchWatermark() {
     return launchWatermark;
   }
 
   /**
-   * Requests the watermark that a task needs; twice the present one at the least, so that a job
-   * needs few writes.
+   * Requests the launch watermark that a task needs. Each raise at least doubles the current one,
+   * up to the number of tasks, so that a job needs few writes.
    */
   void requestLaunchWatermark(int index) {
     if (index >= requestedLaunchWatermark) {
@@ -293,35 +321,36 @@
     }
   }
 
-  /** The watermark that is to be written. */
+  /** Returns the launch watermark that is to be written. */
   public int requestedLaunchWatermark() {
     return requestedLaunchWatermark;
   }
 
-  /** The watermark was written; true when none is requested beyond it. */
+  /** Records a written launch watermark. Returns whether no higher one is requested. */
   boolean launchWatermarkSaved(int watermark) {
     launchWatermark = Math.max(launchWatermark, watermark);
     return launchWatermark >= requestedLaunchWatermark;
   }
 
-  /** Waiting tasks that an earlier leader may have launched. */
+  /** Returns the waiting tasks that an earlier leader may have launched. */
   BitSet waitingTasksLaunchedBefore() {
-    BitSet all = (BitSet) waitingTasks.clone();
-    all.clear(Math.min(inheritedLaunchWatermark, spec.tasks()), spec.tasks());
-    return all;
+    BitSet tasks = (BitSet) waitingTasks.clone();
+    tasks.clear(Math.min(inheritedLaunchWatermark, spec.tasks()), spec.tasks());
+    return tasks;
   }
 
   /**
-   * Tasks that an earlier leader may have launched and that no reconciled machine has shown. What
-   * an unreconciled machine's heartbeat shows may be over, and the task may be elsewhere by now.
+   * Returns the unfinished tasks that an earlier leader may have launched and that have no attempt
+   * on a reconciled machine. An attempt on an unreconciled machine does not exclude its task: the
+   * heartbeat that showed it may be outdated, and the task may be on another machine by now.
    */
   BitSet tasksPossiblyOnUnreconciledMachines() {
-    BitSet all = new BitSet();
-    all.set(0, Math.min(inheritedLaunchWatermark, spec.tasks()));
-    all.andNot(finishedTasks);
-    clearTasksOnReconciledMachines(placedAttempts.values(), all);
-    clearTasksOnReconciledMachines(duplicateAttempts, all);
-    return all;
+    BitSet tasks = new BitSet();
+    tasks.set(0, Math.min(inheritedLaunchWatermark, spec.tasks()));
+    tasks.andNot(finishedTasks);
+    clearTasksOnReconciledMachines(placedAttempts.values(), tasks);
+    clearTasksOnReconciledMachines(duplicateAttempts, tasks);
+    return tasks;
   }
 
   private static void clearTasksOnReconciledMachines(Collection<Attempt> attempts, BitSet tasks) {
@@ -339,8 +368,9 @@
   }
 
   /**
-   * A task has failed on a machine; true when it has failed on so many since one completed that the
-   * job is at fault, and not the machines.
+   * Records that a task failed on a machine. Returns whether tasks of the job have failed on so
+   * many machines since one last completed that the job is considered at fault, rather than the
+   * machines.
    */
   boolean taskFailedOn(String machineId) {
     failedMachineIds.add(machineId);
@@ -351,12 +381,19 @@
     return failedMachineIds.size();
   }
 
-  /** None of its tasks is placed for a while, which doubles each time and never exceeds a bound. */
+  /**
+   * Suspends the placement of the job's tasks. The duration doubles with each backoff in a row.
+   *
+   * @param now the current time in seconds
+   * @param unitS half of the first backoff, in seconds
+   * @param maxS the longest backoff, in seconds
+   */
   void backOff(double now, double unitS, double maxS) {
     backoffCount = Math.min(backoffCount + 1, MAX_BACKOFFS);
     backoffUntil = now + Math.min(maxS, unitS * (1 << backoffCount));
   }
 
+  /** Clears the recorded failures: a task of the job has completed. */
   void taskCompleted() {
     failedMachineIds.clear();
     backoffCount = 0;
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The open jobs of one term with their dependencies, and which of them have something that the
- * state service does not know yet.
+ * The open jobs of one term with their dependencies, and which of these jobs have state that still
+ * has to be written to the state service.
  */
 public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
@@ -23,10 +23,13 @@
   private final EventLoop loop;
   private final ArrivalStatistics arrivals;
 
-  /** Version of the leader's key: jobs accepted later cannot have been started by anyone else. */
+  /**
+   * Version of the leader's key, with which the term began. Jobs accepted later cannot have been
+   * launched by an earlier leader.
+   */
   private final long termVersion;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Invoked after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -50,15 +53,18 @@
     return jobs.get(id);
   }
 
-  /** Whether the job was accepted before this term began, and may thus have been launched. */
+  /**
+   * Returns whether the job was accepted before this term began, so that an earlier leader may have
+   * launched its tasks.
+   */
   boolean wasAcceptedBeforeTerm(Job job) {
     return job.version() < termVersion;
   }
 
   /**
-   * Adds an open job; a job that is known already stays as it is.
+   * Adds an open job, unless the table already contains it.
    *
-   * @param launchWatermark no task from this one on was ever launched
+   * @param launchWatermark tasks with this index or a higher one were never launched
    */
   void add(
       JobSpec spec, long version, long submittedAtMs, BitSet finishedTasks, int launchWatermark) {
@@ -81,14 +87,19 @@
     onChange.run();
   }
 
-  /** Which open jobs depend on which others. */
+  /** Returns the dependencies between the open jobs. */
   DependencyGraph dependencies() {
     return dependencies;
   }
 
-  /** How a job ended that others may depend on: some of them may be ready by that. */
-  void jobEnded(String id, boolean done, long atMs) {
-    dependencies.jobEnded(id, done, atMs);
+  /**
+   * Records how a job ended, which may make its dependents ready.
+   *
+   * @param done whether the job is done; false if it was cancelled
+   * @param endedAtMs wall-clock time in milliseconds
+   */
+  void jobEnded(String id, boolean done, long endedAtMs) {
+    dependencies.jobEnded(id, done, endedAtMs);
     for (String dependent : dependencies.dependents(id)) {
       Job job = jobs.get(dependent);
       if (job != null) {
@@ -119,7 +130,7 @@
             });
   }
 
-  /** The job is over; null when it was not open. */
+  /** Removes a job that has ended. Returns the job, or null if it was not open. */
   @Nullable Job remove(String id) {
     Job job = jobs.remove(id);
     if (job == null) {
@@ -134,7 +145,8 @@
   }
 
   /**
-   * Marks finished tasks as known to the state service; their attempts need not be kept any more.
+   * Marks finished tasks as stored in the state service. Workers need not keep their exited
+   * attempts any longer.
    */
   void finishedTasksSaved(Job job, BitSet tasks) {
     job.finishedTasksSaved(tasks);
@@ -143,24 +155,32 @@
     }
   }
 
-  /** Jobs with finished tasks that the state service does not know of yet; a live view. */
+  /**
+   * Returns the jobs with finished tasks that are not yet stored in the state service. The set is a
+   * live view.
+   */
   Set<Job> jobsWithUnsavedTasks() {
     return jobsWithUnsavedTasks;
   }
 
-  /** Jobs with placed tasks that are launched once a higher launch watermark is written. */
+  /**
+   * Returns the jobs with placed tasks that may be launched only after a higher launch watermark
+   * has been written. The set is a live view.
+   */
   Set<Job> jobsAwaitingLaunchWatermark() {
     return jobsAwaitingLaunchWatermark;
   }
 
-  /** The state service knows that tasks of the job up to this one may have been launched. */
+  /**
+   * The state service has stored that tasks of the job below the watermark may have been launched.
+   */
   void launchWatermarkSaved(Job job, int watermark) {
     if (job.launchWatermarkSaved(watermark)) {
       jobsAwaitingLaunchWatermark.remove(job);
     }
   }
 
-  /** Open jobs whose tasks are all finished. */
+  /** Returns the open jobs whose tasks are all finished. The set is a live view. */
   Set<Job> completedJobs() {
     return completedJobs;
   }
--- a/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
+++ b/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
@@ -5,17 +5,23 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * How long tasks are expected to run: the owners' estimates, corrected by what was seen in this
- * term.
+ * Estimates how long tasks run: the owners' estimates, corrected by the running times observed in
+ * this term.
  */
 final class RuntimeEstimator {
-  /** Owners' estimates are trusted until about this much running time of a class was seen. */
+  /**
+   * Weight of the uncorrected estimates: they dominate until about this much running time of a job
+   * class has been observed, in seconds.
+   */
   private static final double PRIOR_WEIGHT_S = 200;
 
-  /** A task that outlasts its estimate is expected to run on for this part of it. */
+  /**
+   * The remaining time is never estimated below the expected runtime divided by this, which counts
+   * for tasks that outlast their estimate.
+   */
   private static final double OVERRUN_DIVISOR = 5;
 
-  /** What the finished tasks of one class ran, and what their owners had estimated. */
+  /** Total running time of the completed tasks of one job class, and their owners' estimates. */
   private static final class ObservedRuntimes {
     double actualS;
     double estimatedS;
@@ -24,19 +30,20 @@
   private final Map<String, ObservedRuntimes> observedByClass = new HashMap<>();
 
   /**
-   * How long a task is expected to run on.
+   * Returns how much longer a task is expected to run, in seconds.
    *
-   * @param runningSince NaN when it does not run yet
+   * @param runningSince when the task started to run, in seconds; NaN if it is not running yet
+   * @param now the current time in seconds
    */
   double remainingRuntimeS(JobSpec job, double runningSince, double now) {
     double expectedS = expectedRuntimeS(job);
-    double spentS = Double.isNaN(runningSince) ? 0 : now - runningSince;
-    return Math.max(expectedS - spentS, expectedS / OVERRUN_DIVISOR);
+    double elapsedS = Double.isNaN(runningSince) ? 0 : now - runningSince;
+    return Math.max(expectedS - elapsedS, expectedS / OVERRUN_DIVISOR);
   }
 
   /**
-   * How long a task of a job is expected to run: the owner's estimate, corrected by what its class
-   * was seen to take.
+   * Returns how long a task of a job is expected to run, in seconds: the owner's estimate,
+   * corrected by the observed running times of its job class.
    */
   double expectedRuntimeS(JobSpec job) {
     ObservedRuntimes observed = observedByClass.get(job.jobClass());
@@ -46,12 +53,15 @@
             : (observed.actualS + PRIOR_WEIGHT_S) / (observed.estimatedS + PRIOR_WEIGHT_S));
   }
 
-  /** A task has completed: what it took says something of others of its class. */
+  /**
+   * An attempt has completed its task. Its running time is recorded for its job class if this
+   * leader knows it.
+   */
   void attemptCompleted(Attempt attempt, double now) {
     JobSpec job = attempt.job();
     if (job != null && !Double.isNaN(attempt.runningSince()) && attempt.wasObservedFromStart()) {
       ObservedRuntimes observed =
-          observedByClass.computeIfAbsent(job.jobClass(), name -> new ObservedRuntimes());
+          observedByClass.computeIfAbsent(job.jobClass(), jobClass -> new ObservedRuntimes());
       observed.actualS += now - attempt.runningSince();
       observed.estimatedS += job.estimatedRuntimeS();
     }
--- a/src/main/java/org/saffronshore/cluster/StopReason.java
+++ b/src/main/java/org/saffronshore/cluster/StopReason.java
@@ -2,22 +2,22 @@
 
 /** Why the leader stops an attempt. */
 enum StopReason {
-  /** Its job is over: it has ended, or was cancelled, here or in an earlier term. */
-  JOB_ENDED("the job is over"),
+  /** The job is done or was cancelled, in this term or an earlier one. */
+  JOB_ENDED("the job has ended"),
 
-  /** The task has completed in another attempt. */
-  TASK_FINISHED("the task has completed already"),
+  /** Another attempt has completed the task. */
+  TASK_FINISHED("the task has already completed"),
 
   /** Another attempt at the same task runs on another reconciled machine. */
-  DUPLICATE("the task is on another machine too"),
+  DUPLICATE("the task is also on another machine"),
 
-  /** The cloud takes the machine back before the task would end. */
-  PREEMPTION_NOTICE("the cloud takes the machine back"),
+  /** The cloud reclaims the machine, and the task may not complete before that. */
+  PREEMPTION_NOTICE("the cloud reclaims the machine"),
 
-  /** The machine is drained, so that it can be returned. */
-  DRAIN("the machine is drained"),
+  /** The machine is being drained, so that it can be returned. */
+  DRAIN("the machine is being drained"),
 
-  /** The scheduling cycle gives its place to another task. */
+  /** The scheduling cycle preempted the task in favour of another one. */
   PREEMPTION("preempted for another task");
 
   private final String description;
@@ -26,7 +26,7 @@
     this.description = description;
   }
 
-  /** For the log. */
+  /** Returns the text that the log shows for the reason. */
   String description() {
     return description;
   }
--- a/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
@@ -13,20 +13,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the tasks of a worker's message into the cluster: which run, which are over and why, and
- * which were launched by an earlier leader or are on two machines.
+ * Applies the task statuses in a worker's message to the leader's state: updates known attempts,
+ * adopts attempts that an earlier leader launched, records exits and stops duplicates.
  */
 final class TaskStatusReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
 
-  /** Exits that say that the machine did not start the task. */
+  /** Exit reasons with which a worker reports that it did not start the task. */
   private static final Set<Heartbeat.ExitReason> REFUSALS =
       EnumSet.of(
           Heartbeat.ExitReason.INSUFFICIENT_RESOURCES,
           Heartbeat.ExitReason.ALREADY_RUNNING,
           Heartbeat.ExitReason.UNKNOWN_TASK);
 
-  /** Heartbeat intervals of backoff for each failure of a machine in a row. */
+  /** Backoff of a machine for each consecutive task failure, in heartbeat intervals. */
   private static final double FAILURE_BACKOFF_INTERVALS = 2;
 
   private final EventLoop loop;
@@ -36,7 +36,7 @@
   private final RuntimeEstimator runtimeEstimator;
   private final UnresponsiveMachineDetector unresponsiveMachines;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Invoked after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   TaskStatusReconciler(
@@ -56,7 +56,10 @@
     this.onChange = onChange;
   }
 
-  /** Takes all tasks of a message that is the newest of its machine. */
+  /**
+   * Applies all task statuses of the newest message of a machine. Attempts that the message does
+   * not show have ended, unless no status has shown them yet.
+   */
   void apply(Machine machine, List<Heartbeat.TaskStatus> statuses) {
     machine.applyingTasks();
     Set<TaskId> shown = new HashSet<>();
@@ -122,7 +125,7 @@
     attempts.recordImageUse(attempt);
   }
 
-  /** An earlier leader has left a task on a machine. */
+  /** Adopts an attempt that an earlier leader launched, and stops it if it is no longer needed. */
   private void adopt(Attempt attempt, @Nullable Job job) {
     Attempt replaced = attempt.machine().adoptAttempt(attempt);
     attempt.markAdopted();
@@ -140,8 +143,9 @@
   }
 
   /**
-   * Stops what is on two machines. As long as one of them is unreconciled, what it shows may be
-   * over: a late copy of an old heartbeat must not end what truly runs.
+   * Stops duplicate attempts at the tasks of a machine. An attempt is only stopped if both machines
+   * are reconciled: the attempts that an unreconciled machine shows may have ended, and a late copy
+   * of an old heartbeat must not end an attempt that is really running.
    */
   void stopDuplicates(Machine machine) {
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
@@ -165,7 +169,7 @@
     }
   }
 
-  /** Whether it is certain to be on its machine, and is to stay there. */
+  /** Returns whether the attempt is certain to be on its machine and is not being stopped. */
   private static boolean isConfirmed(Attempt attempt) {
     return attempt.machine().isReconciled() && !attempt.isStopping();
   }
@@ -211,14 +215,15 @@
   }
 
   /**
-   * Tells a bad machine, which fails whatever it is given, from a bad job, which fails wherever it
-   * runs.
+   * Handles the failure of a task. A job whose tasks fail on several machines is considered at
+   * fault and backs off; otherwise the failure counts against the machine.
    */
   private void handleFailure(Attempt attempt, Job job) {
     Machine machine = attempt.machine();
     double now = loop.now();
     if (job.taskFailedOn(machine.id())) {
-      // Never for long: it may have been the machines after all, and their trouble may be over.
+      // The backoff is never longer than a worker lease: the machines may have been at fault after
+      // all, and may have recovered.
       job.backOff(now, settings.heartbeatIntervalS(), settings.workerLeaseS());
       LOG.info("Job backing off: job={} failed_machines={}", job.id(), job.failedMachineCount());
       return;
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -22,8 +22,8 @@
 import org.saffronshore.wire.Priority;
 
 /**
- * Each way in which an attempt ends, so that its task may be placed again, and bad machines and
- * jobs.
+ * The ways in which an attempt ends and its task becomes placeable again, and the handling of
+ * machines and jobs whose tasks keep failing.
  */
 class AttemptEndTest extends ClusterTestBase {
   @Test
@@ -55,7 +55,7 @@
             TERM,
             taskStatus(
                 "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
+    assertTrue(placeable(), "a late heartbeat of an expired epoch is ignored");
   }
 
   @Test
@@ -99,7 +99,13 @@
     assertFalse(placeable());
   }
 
-  /** For how long it was known when the list was requested, and whether the list removes it. */
+  /**
+   * A machine that is missing from the cloud's list is removed only if it was known well before the
+   * list was requested, since the list may be older than the machine.
+   *
+   * @param age seconds for which the machine was known when the list was requested
+   * @param removed whether the list removes the machine
+   */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
   void machineIsRemovedOnlyByListRequestedWellAfterItBecameKnown(double age, boolean removed) {
@@ -113,7 +119,7 @@
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)),
-          "its late heartbeats are not taken");
+          "late heartbeats of a removed machine are rejected");
     }
   }
 
@@ -156,7 +162,7 @@
     assertEquals(
         reason != ExitReason.COMPLETED,
         ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
-        "a result is kept until the state service knows of it");
+        "a completed attempt is not reaped until the state service has stored the result");
   }
 
   @Test
@@ -169,7 +175,7 @@
           new BitSet(),
           Integer.MAX_VALUE);
     }
-    Machine bad = up("host-1");
+    Machine faulty = up("host-1");
     for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
           heartbeat(
@@ -186,8 +192,11 @@
               TERM,
               taskStatus("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
-    assertTrue(bad.isQuarantined());
-    assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
+    assertTrue(faulty.isQuarantined());
+    assertEquals(
+        2,
+        cluster.view().pendingJobs(true).size(),
+        "both jobs stay pending: each failed on one machine only");
 
     for (int i = 2; i < 5; i++) {
       up("host-" + i);
--- a/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
+++ b/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
@@ -18,7 +18,8 @@
   private final DependencyGraph graph = new DependencyGraph();
 
   /**
-   * Each job of a script is a name, its priority's first letter, and the jobs it needs: "c u a b".
+   * Adds the jobs of a script. Each job is its name, the first letter of its priority, and the
+   * names of its dependencies: "c u a b".
    */
   private void add(String script) {
     for (String job : script.split(", ", -1)) {
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Ends of a script: "a+" is done, "a-" cancelled, "a" over without that it is known how. */
+  /** Ends the jobs of a script: "a+" is done, "a-" cancelled, "a" ended with an unknown outcome. */
   private void end(String script) {
     for (String end : script.isEmpty() ? new String[0] : script.split(" ")) {
       String job = end.replaceAll("[+-]", "");
@@ -56,8 +57,8 @@
     "'a i, b i, c u a b', '', 'a b', ''",
     "'a i, b i, c u a b', 'a+', 'b', ''",
     "'a i, b i, c u a b', 'a+ b+', 'c', ''",
-    "'a i, b i, c u a b', 'a+ b', '', 'b'", // How b ended has to be asked; until then c waits.
-    "'c u a', '', '', 'a'", // After a change of leader: a is over.
+    "'a i, b i, c u a b', 'a+ b', '', 'b'", // The outcome of b is unknown; c waits for it.
+    "'c u a', '', '', 'a'", // After a failover: a is no longer open.
     "'b i a, c u b', 'a+', 'b', ''",
     "'a i, c u a, d u a', 'a+', 'c d', ''"
   })
@@ -75,7 +76,7 @@
   @ParameterizedTest
   @CsvSource({
     "'a i, b i a, c u b, d u', 'a-', 'b c'",
-    "'a i, b i a, c i a, d u b c', 'b-', 'd'", // What b needed goes on, and so does its neighbour.
+    "'a i, b i a, c i a, d u b c', 'b-', 'd'", // a and c do not depend on b.
     "'a i, b i a, c i a, d u b c', 'a+ b-', 'd'",
     "'a i, b i a', 'a+', ''",
     "'b i a, c i b', 'a-', 'b c'"
@@ -86,7 +87,7 @@
     assertEquals(cancelled, sorted(graph.jobsToCancel()));
   }
 
-  /** Later jobs raise those before them, and no longer once they are over. */
+  /** An open job raises the priority of its dependencies; a job that has ended does not. */
   @ParameterizedTest
   @CsvSource({
     "'a i, b s a, c u b', '', 'a=URGENT b=URGENT c=URGENT'",
@@ -108,7 +109,9 @@
     }
     all.keySet().removeIf(job -> job.compareTo("y") >= 0);
     assertEquals(priorities, all.toString().replaceAll("[{},]", ""));
-    assertTrue(graph.recomputeEffectivePriorities().isEmpty(), "nothing has changed since");
+    assertTrue(
+        graph.recomputeEffectivePriorities().isEmpty(),
+        "no priority has changed since the last call");
   }
 
   @Test
@@ -119,7 +122,10 @@
     assertEquals(0, graph.waitingJobCount());
   }
 
-  /** As deep and as wide as users may make it: no recursion, and each job is looked at once. */
+  /**
+   * Users may submit graphs this deep and wide. Recursion would overflow the call stack, and
+   * visiting jobs more than once would take too long.
+   */
   @Test
   void deepAndWideGraphIsProcessedWithoutRecursion() {
     int jobs = 20_000;
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -20,7 +20,7 @@
 import org.saffronshore.wire.Heartbeat.TaskState;
 import org.saffronshore.wire.Priority;
 
-/** Launches whose delivery is unknown, and machines on which nothing is launched. */
+/** Launches whose delivery is unknown, preemption of overdue tasks, and silent machines. */
 class LaunchTest extends ClusterTestBase {
   @ParameterizedTest
   @CsvSource({"EXECUTED, false", "NOT_EXECUTED, true", "UNKNOWN, false"})
@@ -61,7 +61,7 @@
     assertEquals(
         placeable,
         placeable(),
-        "a heartbeat without the task proves nothing while the launch may arrive");
+        "a heartbeat without the task does not end the attempt while its launch may arrive");
   }
 
   @Test
@@ -74,8 +74,8 @@
   }
 
   /**
-   * A lost launch is repeated with a stop behind it, so that the late copy finds an attempt that is
-   * over.
+   * A lost launch may still arrive and start a task of a cancelled job. It is therefore repeated
+   * together with a stop, so that the worker knows the attempt as ended when the late copy arrives.
    */
   @Test
   void lostLaunchOfCancelledJobIsRepeatedWithStop() {
@@ -96,16 +96,16 @@
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
-    Heartbeat.TaskStatus ended =
+    Heartbeat.TaskStatus exited =
         taskStatus(
             "wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
-    cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, ended));
-    assertTrue(placeable(), "it is over there");
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, exited));
+    assertTrue(placeable(), "the attempt has exited");
     assertFalse(ops(cluster.responseCommands(machine)).contains(Command.Action.REAP));
-    assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
+    assertTrue(machine.tasks().hasTraceOf(TASK), "the task must be placed on another machine");
   }
 
-  /** The one task with which an overdue job starts is not preempted for a higher priority. */
+  /** The first task of an overdue job is not preempted for a job of higher priority. */
   @ParameterizedTest
   @CsvSource({"false, 1", "true, 0"})
   void overdueTaskIsNotPreempted(boolean overdue, int stops) {
@@ -127,7 +127,10 @@
     assertEquals(stops, plan.preemptions().size());
   }
 
-  /** Tasks that are put on a machine that hangs are lost time, for as long as its lease. */
+  /**
+   * A machine that no longer sends heartbeats may hang. Tasks placed on it would make no progress
+   * until its lease expires.
+   */
   @Test
   void silentMachineIsNotSchedulable() {
     Machine machine = up("host-1");
