--- a/src/main/java/org/saffronshore/cluster/DependencyGraph.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -26,9 +26,9 @@
    * How and when a job ended that others depend on.
    *
    * @param done whether the job is done; false if it was cancelled
-   * @param atMs wall-clock time in milliseconds
+   * @param endedAtMs wall-clock time in milliseconds
    */
-  private record Outcome(boolean done, long atMs) {}
+  private record Outcome(boolean done, long endedAtMs) {}
 
   private final Map<String, OpenJob> openJobs = new LinkedHashMap<>();
 
@@ -115,7 +115,7 @@
     return openJob.dependencies.stream()
         .map(outcomes::get)
         .filter(Objects::nonNull)
-        .mapToLong(Outcome::atMs)
+        .mapToLong(Outcome::endedAtMs)
         .max()
         .orElse(0);
   }
