--- a/src/main/java/org/saffronshore/cluster/Attempt.java
+++ b/src/main/java/org/saffronshore/cluster/Attempt.java
@@ -205,7 +205,7 @@
     stopSentAt = now;
   }
 
-  /** Returns whether a stop command is to be sent, for the first time or after the interval. */
+  /** Returns whether a stop command is to be sent, for the first time or as a repetition. */
   boolean isStopDue(double now, double repeatAfterS) {
     return stopping && now >= stopSentAt + repeatAfterS;
   }
@@ -227,8 +227,8 @@
   }
 
   /**
-   * Returns whether a launch may still reach the worker. While this is so, the worker must not
-   * forget the attempt, since a late launch would start it again.
+   * Returns whether a launch may still reach the worker. While this is so, the attempt must not be
+   * forgotten, since a late launch would start it again.
    */
   boolean launchMayArrive() {
     return deliveryUnknown || launchesInFlight > 0;
--- a/src/main/java/org/saffronshore/cluster/Job.java
+++ b/src/main/java/org/saffronshore/cluster/Job.java
@@ -70,10 +70,7 @@
   /** Tasks with this index or a higher one were not launched before this term. */
   private final int inheritedLaunchWatermark;
 
-  /**
-   * Tasks below this index may be launched, since the state service records that they may have
-   * been.
-   */
+  /** Tasks below this index may be launched: the state service records that they may have been. */
   private int launchWatermark;
 
   /** The launch watermark once all requested raises have been written. */
@@ -169,10 +166,7 @@
 
   // Attempts
 
-  /**
-   * Returns one attempt for each task that is, or may be, on a machine. The collection is a live
-   * view.
-   */
+  /** Returns one attempt for each task that is, or may be, on a machine, as a live view. */
   Collection<Attempt> placedAttempts() {
     return placedAttempts.values();
   }
@@ -298,10 +292,7 @@
 
   // Launch watermark
 
-  /**
-   * Returns whether a task may be launched. If not, a higher launch watermark has to be written
-   * first.
-   */
+  /** Returns whether a task may be launched, without first raising the launch watermark. */
   boolean isLaunchable(int index) {
     return index < launchWatermark;
   }
@@ -393,7 +384,6 @@
     backoffUntil = now + Math.min(maxS, unitS * (1 << backoffCount));
   }
 
-  /** Clears the recorded failures: a task of the job has completed. */
   void taskCompleted() {
     failedMachineIds.clear();
     backoffCount = 0;
