--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -362,7 +362,7 @@
             new PlacedTask(
                 attempt.task(),
                 Objects.requireNonNull(attempt.job(), "job of an attempt on a schedulable machine"),
-                attempt.stopping(),
+                attempt.isStopping(),
                 attempt.runningSince(),
                 attempt.isExemptFromPreemption()));
       }
--- a/src/main/java/org/saffronshore/cluster/Reconciliation.java
+++ b/src/main/java/org/saffronshore/cluster/Reconciliation.java
@@ -65,7 +65,7 @@
    * are any and the job is older than this term.
    */
   boolean mayRunOnUnreconciledMachine(Job job) {
-    return !unreconciled.isEmpty() && jobs.isOlderThanTerm(job);
+    return !unreconciled.isEmpty() && jobs.wasAcceptedBeforeTerm(job);
   }
 
   /** Returns whether a task of the job may be on an unreconciled machine, in an unknown zone. */
@@ -73,7 +73,7 @@
     if (!mayRunOnUnreconciledMachine(job)) {
       return false;
     }
-    BitSet tasks = job.launchedOnUnreconciled();
+    BitSet tasks = job.tasksPossiblyOnUnreconciledMachines();
     return !tasks.isEmpty()
         && unreconciled.stream()
             .anyMatch(machine -> machine.possibleTasks().includeAny(job, tasks));
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -22,8 +22,8 @@
 import org.saffronshore.wire.Priority;
 
 /**
- * Each way in which an attempt ends, so that its task may be placed again, and bad machines and
- * jobs.
+ * The ways in which an attempt ends and its task becomes placeable again, and the handling of
+ * machines and jobs whose tasks keep failing.
  */
 class AttemptEndTest extends ClusterTestBase {
   @Test
@@ -55,11 +55,11 @@
             TERM,
             taskStatus(
                 "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
+    assertTrue(placeable(), "a late heartbeat of an expired epoch is ignored");
   }
 
   @Test
-  void statusInCommandResponseRenewsNoLease() {
+  void statusInCommandResponseDoesNotRenewLease() {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -99,10 +99,16 @@
     assertFalse(placeable());
   }
 
-  /** For how long it was known when the list was requested, and whether the list removes it. */
+  /**
+   * A machine that is missing from the cloud's list is removed only if it was known well before the
+   * list was requested, since the list may be older than the machine.
+   *
+   * @param age seconds for which the machine was known when the list was requested
+   * @param removed whether the list removes the machine
+   */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
-  void machineIsRemovedOnlyByListRequestedWellAfterItWasKnown(double age, boolean removed) {
+  void machineIsRemovedOnlyByListRequestedWellAfterItBecameKnown(double age, boolean removed) {
     job(101);
     Machine machine = up("host-1");
     launch(machine);
@@ -113,7 +119,7 @@
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)),
-          "its late heartbeats are not taken");
+          "late heartbeats of a removed machine are rejected");
     }
   }
 
@@ -138,7 +144,7 @@
         "UNKNOWN_TASK",
         "COMPLETED"
       })
-  void taskIsFinishedOnlyWhenItsExitReasonIsCompleted(ExitReason reason) {
+  void taskIsFinishedOnlyWhenExitReasonIsCompleted(ExitReason reason) {
     job(101);
     Machine machine = up("host-1");
     CommandBatch batch = launch(machine);
@@ -156,11 +162,11 @@
     assertEquals(
         reason != ExitReason.COMPLETED,
         ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
-        "a result is kept until the state service knows of it");
+        "a completed attempt is not reaped until the state service has stored the result");
   }
 
   @Test
-  void machineThatFailsJobsIsQuarantinedAndJobThatFailsOnMachinesBacksOff() {
+  void machineWithConsecutiveFailuresIsQuarantinedAndJobFailingOnSeveralMachinesBacksOff() {
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
@@ -169,7 +175,7 @@
           new BitSet(),
           Integer.MAX_VALUE);
     }
-    Machine bad = up("host-1");
+    Machine faulty = up("host-1");
     for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
           heartbeat(
@@ -186,8 +192,11 @@
               TERM,
               taskStatus("wk-" + i, 0, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
-    assertTrue(bad.isQuarantined());
-    assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
+    assertTrue(faulty.isQuarantined());
+    assertEquals(
+        2,
+        cluster.view().pendingJobs(true).size(),
+        "both jobs stay pending: each failed on one machine only");
 
     for (int i = 2; i < 5; i++) {
       up("host-" + i);
--- a/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
+++ b/src/test/java/org/saffronshore/cluster/DependencyGraphTest.java
@@ -18,7 +18,8 @@
   private final DependencyGraph graph = new DependencyGraph();
 
   /**
-   * Each job of a script is a name, its priority's first letter, and the jobs it needs: "c u a b".
+   * Adds the jobs of a script. Each job is its name, the first letter of its priority, and the
+   * names of its dependencies: "c u a b".
    */
   private void add(String script) {
     for (String job : script.split(", ", -1)) {
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Ends of a script: "a+" is done, "a-" cancelled, "a" over without that it is known how. */
+  /** Ends the jobs of a script: "a+" is done, "a-" cancelled, "a" ended with an unknown outcome. */
   private void end(String script) {
     for (String end : script.isEmpty() ? new String[0] : script.split(" ")) {
       String job = end.replaceAll("[+-]", "");
@@ -56,8 +57,8 @@
     "'a i, b i, c u a b', '', 'a b', ''",
     "'a i, b i, c u a b', 'a+', 'b', ''",
     "'a i, b i, c u a b', 'a+ b+', 'c', ''",
-    "'a i, b i, c u a b', 'a+ b', '', 'b'", // How b ended has to be asked; until then c waits.
-    "'c u a', '', '', 'a'", // After a change of leader: a is over.
+    "'a i, b i, c u a b', 'a+ b', '', 'b'", // The outcome of b is unknown; c waits for it.
+    "'c u a', '', '', 'a'", // After a failover: a is no longer open.
     "'b i a, c u b', 'a+', 'b', ''",
     "'a i, c u a, d u a', 'a+', 'c d', ''"
   })
@@ -69,24 +70,24 @@
     open.removeIf(job -> !jobs.matches("(.*, )?" + job + " .*") || ends.contains(job));
     open.removeIf(job -> !graph.isReady(job));
     assertEquals(ready, sorted(open));
-    assertEquals(unknown, sorted(graph.unresolved()));
+    assertEquals(unknown, sorted(graph.jobsWithUnknownOutcome()));
   }
 
   @ParameterizedTest
   @CsvSource({
     "'a i, b i a, c u b, d u', 'a-', 'b c'",
-    "'a i, b i a, c i a, d u b c', 'b-', 'd'", // What b needed goes on, and so does its neighbour.
+    "'a i, b i a, c i a, d u b c', 'b-', 'd'", // a and c do not depend on b.
     "'a i, b i a, c i a, d u b c', 'a+ b-', 'd'",
     "'a i, b i a', 'a+', ''",
     "'b i a, c i b', 'a-', 'b c'"
   })
-  void jobIsCancelledWithAnyOfItsDependencies(String jobs, String ends, String cancelled) {
+  void jobIsCancelledWhenAnyDependencyIsCancelled(String jobs, String ends, String cancelled) {
     add(jobs);
     end(ends);
-    assertEquals(cancelled, sorted(graph.cancelledJobs()));
+    assertEquals(cancelled, sorted(graph.jobsToCancel()));
   }
 
-  /** Later jobs raise those before them, and no longer once they are over. */
+  /** An open job raises the priority of its dependencies; a job that has ended does not. */
   @ParameterizedTest
   @CsvSource({
     "'a i, b s a, c u b', '', 'a=URGENT b=URGENT c=URGENT'",
@@ -95,40 +96,46 @@
     "'a i, b i, c u b', '', 'a=IDLE b=URGENT c=URGENT'",
     "'a i, b i a, c i a, d s b, e u c', '', 'a=URGENT b=STANDARD c=URGENT d=STANDARD e=URGENT'"
   })
-  void priorityOfJobIsTheHighestOfItsDependents(String jobs, String ends, String priorities) {
+  void effectivePriorityIsHighestOfJobAndItsDependents(
+      String jobs, String ends, String priorities) {
     add(jobs);
-    graph.updatedPriorities();
+    graph.recomputeEffectivePriorities();
     end(ends);
     add("z i");
-    Map<String, Priority> all = new TreeMap<>(graph.updatedPriorities());
+    Map<String, Priority> all = new TreeMap<>(graph.recomputeEffectivePriorities());
     if (all.isEmpty()) {
       add("y i z");
-      all.putAll(graph.updatedPriorities());
+      all.putAll(graph.recomputeEffectivePriorities());
     }
     all.keySet().removeIf(job -> job.compareTo("y") >= 0);
     assertEquals(priorities, all.toString().replaceAll("[{},]", ""));
-    assertTrue(graph.updatedPriorities().isEmpty(), "nothing has changed since");
+    assertTrue(
+        graph.recomputeEffectivePriorities().isEmpty(),
+        "no priority has changed since the last call");
   }
 
   @Test
-  void readyTimeIsThatOfTheLastDependency() {
+  void readyTimeIsLatestCompletionTimeOfDependencies() {
     add("a i, b i, c u a b");
     end("b+ a+");
     assertEquals(1000 * 'b', graph.readyAtMs("c"));
-    assertEquals(0, graph.waitingCount());
+    assertEquals(0, graph.waitingJobCount());
   }
 
-  /** As deep and as wide as users may make it: no recursion, and each job is looked at once. */
+  /**
+   * Users may submit graphs this deep and wide. Recursion would overflow the call stack, and
+   * visiting jobs more than once would take too long.
+   */
   @Test
-  void deepAndWideGraphsAreProcessedWithoutRecursion() {
+  void deepAndWideGraphIsProcessedWithoutRecursion() {
     int jobs = 20_000;
     for (int i = 1; i < jobs; i++) {
       graph.add("j" + i, i == jobs - 1 ? Priority.CRITICAL : Priority.IDLE, List.of("j" + (i - 1)));
       graph.add("w" + i, Priority.IDLE, List.of("j0"));
     }
-    assertEquals(Priority.CRITICAL, graph.updatedPriorities().get("j1"));
+    assertEquals(Priority.CRITICAL, graph.recomputeEffectivePriorities().get("j1"));
     graph.jobEnded("j0", false, 0);
-    assertEquals(2 * (jobs - 1), graph.cancelledJobs().size());
+    assertEquals(2 * (jobs - 1), graph.jobsToCancel().size());
     assertFalse(graph.isReady("j1"));
   }
 }
