--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -121,7 +121,7 @@
     long version;
     try {
       FieldReader fields = FieldReader.of(body, "");
-      version = fields.count(VERSION_FIELD, 0, Long.MAX_VALUE);
+      version = fields.integer(VERSION_FIELD, 0, Long.MAX_VALUE);
       settings = OperatorSettings.parse(fields.object(SETTINGS_FIELD).node(), teams);
     } catch (InvalidFieldException e) {
       responder.json(400, Json.object().put("error", e.getMessage()).put("field", e.field()));
--- a/src/main/java/org/saffronshore/autoscaling/Consolidation.java
+++ b/src/main/java/org/saffronshore/autoscaling/Consolidation.java
@@ -111,7 +111,7 @@
       if (target != source
           && !fromSpotToOnDemand
           && entry.getValue().fits(job)
-          && target.kind().allows(job)) {
+          && target.kind().isAllowedFor(job)) {
         return Optional.of(entry.getValue());
       }
     }
--- a/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -45,7 +45,7 @@
 
   private double fittingTasksOn(Machine machine, ExpectedJob expected) {
     Resources freeOnMachine = free.get(machine);
-    return freeOnMachine == null || !machine.kind().allows(expected.task())
+    return freeOnMachine == null || !machine.kind().isAllowedFor(expected.task())
         ? 0
         : ArrivalStatistics.fittingTasks(freeOnMachine, expected.task());
   }
--- a/src/main/java/org/saffronshore/config/Objective.java
+++ b/src/main/java/org/saffronshore/config/Objective.java
@@ -12,11 +12,11 @@
  * @param kind what it is about, as the settings file names it
  * @param jobClass the class of jobs that it concerns; null where it concerns every class
  * @param share the share of jobs that has to meet it, from 0 to 1
- * @param times the factor that it allows, where it compares with a reference
+ * @param factor the factor that it allows, where it compares with a reference
  * @param withinS the time that it allows, in seconds, where it is about a time
  */
 public record Objective(
-    String kind, @Nullable String jobClass, double share, double times, double withinS) {
+    String kind, @Nullable String jobClass, double share, double factor, double withinS) {
 
   static List<Objective> parseAll(List<FieldReader> entries) throws InvalidFieldException {
     List<Objective> objectives = new ArrayList<>();
--- a/src/main/java/org/saffronshore/config/Settings.java
+++ b/src/main/java/org/saffronshore/config/Settings.java
@@ -127,7 +127,7 @@
     double requestsPerS = state.number("rps", 1, MAX_NUMBER);
     double writesPerS = state.number("write_rps", 1, MAX_NUMBER);
     double valueKb = state.number("value_kb", 1, MAX_NUMBER);
-    int transactionWrites = (int) state.count("txn_ops", 2, MAX_TRANSACTION_WRITES);
+    int transactionWrites = (int) state.integer("txn_ops", 2, MAX_TRANSACTION_WRITES);
     FieldReader cloud = cluster.object("cloud");
     FieldReader limits = cluster.object("limits");
     List<String> zones = cluster.textsOrNull("zones");
@@ -151,7 +151,7 @@
         next.number("write_rps", 1, MAX_NUMBER, writesPerS),
         Math.min(valueKb, next.number("value_kb", 1, MAX_NUMBER, valueKb)),
         next.has("txn_ops")
-            ? Math.min(transactionWrites, (int) next.count("txn_ops", 2, MAX_TRANSACTION_WRITES))
+            ? Math.min(transactionWrites, (int) next.integer("txn_ops", 2, MAX_TRANSACTION_WRITES))
             : transactionWrites,
         cloud.number("rps", 0.01, MAX_NUMBER),
         cloud.number("list_lag_s", 0, MAX_NUMBER),
--- a/src/main/java/org/saffronshore/fleet/Forecast.java
+++ b/src/main/java/org/saffronshore/fleet/Forecast.java
@@ -140,7 +140,7 @@
       List<MachineTimeline> timelines, JobSpec job, int tasks, double limit, double runtimeS) {
     PriorityQueue<Start> starts = new PriorityQueue<>(Start.ORDER);
     for (int i = 0; i < timelines.size(); i++) {
-      if (timelines.get(i).kind.allows(job)) {
+      if (timelines.get(i).kind.isAllowedFor(job)) {
         addStart(starts, timelines, i, job, limit);
       }
     }
--- a/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
+++ b/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
@@ -35,7 +35,7 @@
     /** Places as many tasks of a job as fit, up to a number; returns how many. */
     int place(JobSpec job, int maxTasks) {
       int placed = 0;
-      while (placed < maxTasks && free.fits(job) && kind.allows(job)) {
+      while (placed < maxTasks && free.fits(job) && kind.isAllowedFor(job)) {
         free.subtract(job);
         placed++;
       }
@@ -156,7 +156,7 @@
     MachineKind best = null;
     for (String zone : type.zones()) {
       MachineKind kind = new MachineKind(type.name(), zone, spot);
-      if (kind.allows(job)
+      if (kind.isAllowedFor(job)
           && available.test(kind)
           && (best == null || machinesIn(zone) < machinesIn(best.zone()))) {
         best = kind;
--- a/src/main/java/org/saffronshore/scheduling/MachineSelector.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineSelector.java
@@ -36,7 +36,7 @@
     MachineView best = null;
     boolean excludedAny = false;
     for (MachineView machine : machines) {
-      if (!machine.freeAfterStops().fits(job) || !machine.kind().allows(job)) {
+      if (!machine.freeAfterStops().fits(job) || !machine.kind().isAllowedFor(job)) {
         continue;
       }
       if (pending.isExcludedFrom(machine, task)) {
--- a/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
+++ b/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
@@ -28,7 +28,7 @@
     for (MachineView machine : machines) {
       if (machine.totalCpus() + Resources.EPSILON >= job.cpus()
           && !machine.isReserved()
-          && machine.kind().allows(job)
+          && machine.kind().isAllowedFor(job)
           && !pending.isExcludedFrom(machine, task)
           && (best == null || machine.freeAfterStops().cpus > best.freeAfterStops().cpus)) {
         best = machine;
--- a/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
@@ -68,7 +68,7 @@
     boolean hasLowerPriority = machine.hasTasksBelow(job.priority());
     boolean hasOthersForGuarantee = guaranteed && machine.hasOtherTeams(job.team());
     return (hasLowerPriority || hasOthersForGuarantee)
-        && machine.kind().allows(job)
+        && machine.kind().isAllowedFor(job)
         && !machine.isReserved();
   }
 }
--- a/src/main/java/org/saffronshore/wire/FieldReader.java
+++ b/src/main/java/org/saffronshore/wire/FieldReader.java
@@ -102,7 +102,7 @@
   }
 
   /** A whole number that has to be there and in a range. */
-  public long count(String field, long min, long max) throws InvalidFieldException {
+  public long integer(String field, long min, long max) throws InvalidFieldException {
     double number = number(field, (double) min, (double) max);
     if (number != Math.rint(number)) {
       throw new InvalidFieldException(pathOf(field), "must be a whole number");
@@ -111,7 +111,7 @@
   }
 
   /** A boolean that has to be there. */
-  public boolean flag(String field) throws InvalidFieldException {
+  public boolean bool(String field) throws InvalidFieldException {
     JsonNode value = node.get(field);
     if (isAbsent(value) || !value.isBoolean()) {
       throw new InvalidFieldException(pathOf(field), "must be true or false");
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -63,7 +63,7 @@
   private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
 
   /** The most that a field with a number may say. */
-  private static final double MAX = 1e9;
+  private static final double MAX_NUMBER = 1e9;
 
   /**
    * Whether a text has the form of a job id, and may thus be part of a key of the state service.
@@ -98,21 +98,21 @@
         fields.text("RouteKind"),
         fields.text(TEAM_FIELD),
         Priority.fromWireName(fields.text("Urgency")),
-        (int) fields.count("Legs", 1, MAX_TASKS),
-        fields.number("Cores", 0, MAX),
-        fields.number("Accelerators", 0, MAX),
-        fields.number("RamGb", 0, MAX),
+        (int) fields.integer("Legs", 1, MAX_TASKS),
+        fields.number("Cores", 0, MAX_NUMBER),
+        fields.number("Accelerators", 0, MAX_NUMBER),
+        fields.number("RamGb", 0, MAX_NUMBER),
         fields.text("Kit"),
-        fields.number("ImageGb", 0, MAX),
+        fields.number("ImageGb", 0, MAX_NUMBER),
         machineTypes,
         fields.textOrNull("Depot"),
-        fields.flag("SamePlace"),
-        fields.flag("Spread"),
-        fields.flag("Loaner"),
-        fields.number("EtaS", 0, MAX),
-        fields.number("WaypointS", 0, MAX),
-        fields.number("StashS", 0, MAX),
-        fields.number("CutoffS", 0, MAX, Double.POSITIVE_INFINITY),
+        fields.bool("SamePlace"),
+        fields.bool("Spread"),
+        fields.bool("Loaner"),
+        fields.number("EtaS", 0, MAX_NUMBER),
+        fields.number("WaypointS", 0, MAX_NUMBER),
+        fields.number("StashS", 0, MAX_NUMBER),
+        fields.number("CutoffS", 0, MAX_NUMBER, Double.POSITIVE_INFINITY),
         dependencies(fields, id));
   }
 
--- a/src/main/java/org/saffronshore/wire/MachineType.java
+++ b/src/main/java/org/saffronshore/wire/MachineType.java
@@ -30,7 +30,7 @@
     List<String> zones) {
 
   /** The most that a field with a number may say. */
-  private static final double MAX = 1e9;
+  private static final double MAX_NUMBER = 1e9;
 
   /**
    * Reads the cloud's list of machine types, by name and in the order of the list.
@@ -44,14 +44,14 @@
       MachineType type =
           new MachineType(
               fields.text("Label"),
-              fields.number("Cores", 0, MAX),
-              fields.number("Accelerators", 0, MAX, 0),
-              fields.number("RamGb", 0, MAX),
-              fields.number("CacheGb", 0, MAX, 0),
-              fields.number("FetchGbPerS", 0, MAX, 0),
-              fields.number("Hourly", 0, MAX),
-              fields.number("LowPrice", 0, MAX, fields.number("Hourly", 0, MAX)),
-              fields.number("BootS", 0, MAX),
+              fields.number("Cores", 0, MAX_NUMBER),
+              fields.number("Accelerators", 0, MAX_NUMBER, 0),
+              fields.number("RamGb", 0, MAX_NUMBER),
+              fields.number("CacheGb", 0, MAX_NUMBER, 0),
+              fields.number("FetchGbPerS", 0, MAX_NUMBER, 0),
+              fields.number("Hourly", 0, MAX_NUMBER),
+              fields.number("LowPrice", 0, MAX_NUMBER, fields.number("Hourly", 0, MAX_NUMBER)),
+              fields.number("BootS", 0, MAX_NUMBER),
               zones == null ? new ArrayList<>() : zones);
       all.put(type.name(), type);
     }
--- a/src/test/java/org/saffronshore/config/SettingsTest.java
+++ b/src/test/java/org/saffronshore/config/SettingsTest.java
@@ -31,7 +31,7 @@
         "/cluster | cloud | null | cluster.cloud",
         "/cluster | teams | [{\"name\":\"x\"},{\"name\":\"x\"}] | cluster.teams[1].name"
       })
-  void parsingFailsNamingTheFieldThatIsInvalid(
+  void invalidFieldIsNamedInTheException(
       String objectPath, String field, String value, String namedField) {
     ObjectNode root = TestData.settingsJson();
     ObjectNode object = objectPath.equals("/") ? root : (ObjectNode) root.at(objectPath);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void unknownFieldsAreIgnoredAndOptionalOnesMayBeNullOrAbsent() throws InvalidFieldException {
+  void unknownFieldsAreIgnoredAndOptionalFieldsMayBeNullOrAbsent() throws InvalidFieldException {
     ObjectNode root = TestData.settingsJson();
     root.putNull("area");
     ((ObjectNode) root.at("/cluster")).remove("objectives");
@@ -60,8 +60,8 @@
         "{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":35} | 2 4 300 35",
         "{\"value_kb\":32,\"txn_ops\":99,\"rps\":7} | 16 8 7 300"
       })
-  void sizeLimitsAreTheSmallerOfNowAndNextWhileRatesAreKeptApart(String next, String expected)
-      throws InvalidFieldException {
+  void nextSizeLimitsApplyAtOnceIfSmallerWhileNextRatesAreKeptSeparately(
+      String next, String expected) throws InvalidFieldException {
     ObjectNode root = TestData.settingsJson();
     root.withObject("/cluster/state").set("next", Json.parse(next.getBytes(UTF_8)));
     Settings settings = Settings.parse(root);
--- a/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -232,7 +232,7 @@
   }
 
   private static boolean isAllowed(MachineView machine, PendingJob pending, TaskId task) {
-    return machine.kind().allows(pending.job())
+    return machine.kind().isAllowedFor(pending.job())
         && pending.isZoneAllowed(machine.kind().zone())
         && !machine.hasTraceOf(task);
   }
--- a/src/test/java/org/saffronshore/wire/JobSpecTest.java
+++ b/src/test/java/org/saffronshore/wire/JobSpecTest.java
@@ -28,7 +28,7 @@
         "SamePlace | 1 | SamePlace", "CutoffS | -3 | CutoffS", "Kit | \"\" | Kit",
             "Crew | null | Crew"
       })
-  void invalidFieldIsRefusedByItsName(String field, String value, String named) {
+  void invalidFieldIsNamedInTheException(String field, String value, String named) {
     ObjectNode body = TestData.job("wk-1", "red", Priority.URGENT, 3, 2).toJson();
     body.set(field, Json.parse(value.getBytes(UTF_8)));
     assertEquals(
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void jobIsReadAsItWasWritten() throws InvalidFieldException {
+  void writtenJobIsReadBackUnchanged() throws InvalidFieldException {
     JobSpec job = TestData.job("wk-000412", "red", Priority.CRITICAL, 100_000, 2.5);
     assertEquals(job, JobSpec.parse(Json.parse(Json.bytes(job.toJson()))));
   }
@@ -55,7 +55,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"{", "[1] x", "''", "{} {}"})
-  void bodyThatIsNotExactlyOneJsonValueIsNull(String text) {
+  void parseReturnsNullUnlessBodyIsExactlyOneJsonValue(String text) {
     assertEquals(null, Json.parse(text.getBytes(UTF_8)));
   }
 }
