--- a/src/main/java/org/saffronshore/config/Objective.java
+++ b/src/main/java/org/saffronshore/config/Objective.java
@@ -7,13 +7,13 @@
 import org.saffronshore.wire.InvalidFieldException;
 
 /**
- * A service level objective of the users, such as that most jobs of a class start in time.
+ * A service level objective, such as that most jobs of a class start within some time.
  *
- * @param kind what it is about, as the settings file names it
- * @param jobClass the class of jobs that it concerns; null where it concerns every class
- * @param share the share of jobs that has to meet it, from 0 to 1
- * @param factor the factor that it allows, where it compares with a reference
- * @param withinS the time that it allows, in seconds, where it is about a time
+ * @param kind the kind of objective, as named in the settings file
+ * @param jobClass the class of jobs that the objective applies to; null if it applies to all
+ * @param share the share of jobs that must meet the objective, from 0 to 1
+ * @param factor the largest ratio to a reference, for an objective relative to one
+ * @param withinS the time limit in seconds, for an objective with a time limit
  */
 public record Objective(
     String kind, @Nullable String jobClass, double share, double factor, double withinS) {
--- a/src/main/java/org/saffronshore/config/Peer.java
+++ b/src/main/java/org/saffronshore/config/Peer.java
@@ -9,8 +9,9 @@
 /**
  * Another controller of the deployment.
  *
- * @param zone null where the platform names none
- * @param address where it serves other controllers
+ * @param node the name of the controller
+ * @param zone the zone of the controller; null if the settings file has none
+ * @param address the address at which it serves other controllers
  */
 public record Peer(String node, @Nullable String zone, Address address) {
 
--- a/src/main/java/org/saffronshore/config/Settings.java
+++ b/src/main/java/org/saffronshore/config/Settings.java
@@ -9,35 +9,40 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The platform's settings file, checked. Fields that are not known here are ignored. Durations are
- * in seconds, and rates in events per second.
+ * The validated contents of the platform's settings file. Unknown fields of the file are ignored.
+ * Durations are in seconds, and rates in events per second.
  *
  * @param node the name of this controller
- * @param zone the zone of this controller; null where the platform names none
- * @param listenAddress where users and workers are served
- * @param peerListenAddress where other controllers and operators are served
+ * @param zone the zone of this controller; null if the settings file has none
+ * @param listenAddress the address at which this controller serves users and workers
+ * @param peerListenAddress the address at which this controller serves other controllers and
+ *     operators
  * @param peers the other controllers of the deployment
  * @param zones the zones in which machines can be rented
- * @param teams quotas by the name of the team, in the order of the file
- * @param heartbeatIntervalS the time between two heartbeats of a worker
- * @param workerLeaseS how long a worker keeps its tasks without a response to its heartbeats
- * @param cancellationDeadlineS the time within which the tasks of a cancelled job have to end
- * @param stateRequestsPerS the rate of requests that the state service accepts, for all controllers
+ * @param teams the quotas by team name, in the order of the file
+ * @param heartbeatIntervalS the interval between two heartbeats of a worker
+ * @param workerLeaseS the time for which a worker keeps its tasks without a response to its
+ *     heartbeats
+ * @param cancellationDeadlineS the time within which all tasks of a cancelled job must end
+ * @param stateRequestsPerS the rate of requests that the state service accepts from all controllers
  *     together
- * @param stateWritesPerS the rate of writes that it accepts, for all controllers together
- * @param nextStateRequestsPerS the rate of requests that it will accept from some moment on,
- *     without notice; as now where the file names none
- * @param nextStateWritesPerS the same for writes
- * @param maxValueKb the size limit of a stored value in KB, the smaller one of now and later
- * @param maxTransactionWrites how many writes a transaction may have, the smaller one of now and
- *     later
+ * @param stateWritesPerS the rate of writes that the state service accepts from all controllers
+ *     together
+ * @param nextStateRequestsPerS the rate of requests that the state service will accept after a
+ *     change that happens without notice; equal to the current rate if the file has none
+ * @param nextStateWritesPerS the rate of writes after the same change; equal to the current rate if
+ *     the file has none
+ * @param maxValueKb the size limit of a stored value in KB: the smaller of the limits before and
+ *     after the change
+ * @param maxTransactionWrites the maximum number of writes in a transaction: the smaller of the
+ *     limits before and after the change
  * @param cloudRequestsPerS the rate of requests that the cloud accepts
- * @param cloudListLagS how far the cloud's list of machines may lag behind
+ * @param cloudListLagS the longest time by which the cloud's list of machines may be out of date
  * @param cpuShare the share of a core that this process may use
  * @param memoryMb the memory that this process may use, in MB
- * @param maxSockets how many sockets this process may have open
- * @param maxClockOffsetS by how much the times of day of two controllers may differ; practically
- *     unbounded where the file names no bound
+ * @param maxSockets the maximum number of sockets that this process may have open
+ * @param maxClockOffsetS the largest difference between the wall clocks of two controllers;
+ *     practically unbounded if the file has no bound
  */
 public record Settings(
     String node,
@@ -66,10 +71,13 @@
     int maxSockets,
     double maxClockOffsetS) {
 
-  /** The monotonic clocks of two machines may run apart by this share of the time that passes. */
+  /**
+   * The maximum rate at which the monotonic clocks of two machines drift apart, as a share of the
+   * elapsed time.
+   */
   public static final double MAX_CLOCK_DRIFT = 0.0005;
 
-  /** The largest number that a field of the settings file may have. */
+  /** The largest value of a numeric field of the settings file. */
   static final double MAX_NUMBER = 1e9;
 
   private static final int MAX_TRANSACTION_WRITES = 1_000_000;
@@ -77,42 +85,45 @@
   private static final double DEFAULT_MAX_SOCKETS = 1024;
   private static final double MS_PER_S = 1000;
 
-  /** Controllers of this deployment, this one included. */
+  /** Returns the number of controllers in this deployment, including this one. */
   public int controllerCount() {
     return peers.size() + 1;
   }
 
   /**
-   * The longest time on this machine's clock in which another machine's clock measures a duration.
+   * Returns the longest time, in seconds on this machine's clock, that may pass while another
+   * machine's clock measures the given duration.
    */
   public static double maxLocalDuration(double seconds) {
     return seconds * (1 + 2 * MAX_CLOCK_DRIFT);
   }
 
   /**
-   * The shortest time on this machine's clock in which another machine's clock measures a duration.
+   * Returns the shortest time, in seconds on this machine's clock, that may pass while another
+   * machine's clock measures the given duration.
    */
   public static double minLocalDuration(double seconds) {
     return seconds * (1 - 2 * MAX_CLOCK_DRIFT);
   }
 
   /**
-   * Reads the platform's settings file.
+   * Parses the platform's settings file.
    *
-   * @throws InvalidFieldException when it is not JSON, or names the first field that is not valid
+   * @throws InvalidFieldException if the file is not exactly one JSON value, or if a field is
+   *     invalid; it names the first invalid field
    */
   public static Settings parse(byte[] file) throws InvalidFieldException {
     JsonNode root = Json.parse(file);
     if (root == null) {
-      throw new InvalidFieldException("settings", "is not JSON");
+      throw new InvalidFieldException("settings", "must be exactly one JSON value");
     }
     return parse(root);
   }
 
   /**
-   * Reads the settings from a tree.
+   * Reads the settings from the JSON tree of the file.
    *
-   * @throws InvalidFieldException names the first field that is not valid
+   * @throws InvalidFieldException if a field is invalid; it names the first invalid field
    */
   public static Settings parse(JsonNode root) throws InvalidFieldException {
     FieldReader file = FieldReader.of(root, "");
--- a/src/main/java/org/saffronshore/wire/Command.java
+++ b/src/main/java/org/saffronshore/wire/Command.java
@@ -7,14 +7,14 @@
 /**
  * A command to a worker about one attempt at one task.
  *
- * @param gracePeriodS seconds that a task has to save a checkpoint before it is killed; only of a
- *     stop
+ * @param gracePeriodS seconds that the task has to save a checkpoint before it is killed; 0 except
+ *     for a stop
  */
 public record Command(Action action, TaskId task, long attempt, double gracePeriodS) {
 
   /**
-   * What the worker is to do: start the task, stop it, or remove its exited attempt from
-   * heartbeats.
+   * The action that the worker carries out: start the task, stop it, or remove its exited attempt
+   * from heartbeats.
    */
   public enum Action {
     LAUNCH,
@@ -34,7 +34,7 @@
     return new Command(Action.REAP, task, attempt, 0);
   }
 
-  /** Adds commands to a message to a worker. */
+  /** Adds the commands to a message for a worker. */
   static void write(ObjectNode message, List<Command> commands) {
     ArrayNode array = message.putArray("Calls");
     commands.forEach(command -> command.write(array.addObject()));
--- a/src/main/java/org/saffronshore/wire/CommandMessage.java
+++ b/src/main/java/org/saffronshore/wire/CommandMessage.java
@@ -6,22 +6,23 @@
 /**
  * A message from the leader to a worker: the response to a heartbeat, or a direct command.
  *
- * @param fencingToken the leader's term; a worker takes nothing from a smaller one than it has seen
- * @param commands in the order in which the worker carries them out
+ * @param fencingToken the leader's term; a worker rejects a token smaller than the largest it has
+ *     seen
+ * @param commands the commands, in the order in which the worker carries them out
  */
 public record CommandMessage(long fencingToken, List<Command> commands) {
   private static final String FENCING_TOKEN_FIELD = "Baton";
   private static final String EPOCH_FIELD = "Shift";
 
-  /** The body of a response to a heartbeat. */
+  /** Returns the body of a response to a heartbeat. */
   public byte[] toHeartbeatResponse() {
     return Json.bytes(toJson());
   }
 
   /**
-   * The body of a direct command.
+   * Returns the body of a direct command.
    *
-   * @param epoch the worker's epoch that it is for; the worker refuses it in any other
+   * @param epoch the epoch that the command is for; a worker in any other epoch rejects it
    */
   public byte[] toDirectCommand(long epoch) {
     return Json.bytes(toJson().put(EPOCH_FIELD, epoch));
--- a/src/main/java/org/saffronshore/wire/HealthResponse.java
+++ b/src/main/java/org/saffronshore/wire/HealthResponse.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The response to a health check that this controller passes. */
+/** The response of a healthy controller to a health check. */
 public record HealthResponse() {
 
-  /** The form in which it is sent. */
+  /** Returns the body of the response. */
   public ObjectNode toJson() {
     return Json.object().put("ok", true);
   }
--- a/src/main/java/org/saffronshore/wire/Heartbeat.java
+++ b/src/main/java/org/saffronshore/wire/Heartbeat.java
@@ -4,15 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A worker's heartbeat: its status, with all tasks on its machine.
+ * A worker's heartbeat: the worker's status, with all tasks on its machine.
  *
  * @param machine the machine's name
- * @param address where it takes direct commands, as host:port
- * @param spot whether the cloud may take the machine back
- * @param epoch rises each time the worker's lease has expired
- * @param sequence rises with every message of the worker
+ * @param address the address at which the worker accepts direct commands, as host:port
+ * @param type the name of the machine's type
+ * @param zone the machine's zone
+ * @param spot whether the machine is a spot machine, which the cloud may take back
+ * @param epoch the worker's epoch, which increases each time the worker's lease has expired
+ * @param sequence the message's number, which increases with every message of the worker
  * @param fencingToken the highest fencing token that the worker has seen
- * @param preemptionNoticeS seconds until the cloud takes the machine back; null without a notice
+ * @param preemptionNoticeS seconds until the cloud takes the machine back; null if it has not given
+ *     notice
  */
 public record Heartbeat(
     String machine,
@@ -26,7 +29,7 @@
     @Nullable Double preemptionNoticeS,
     List<TaskStatus> tasks) {
 
-  /** States of a task on a machine. */
+  /** The state of a task on a machine. */
   public enum TaskState {
     PULLING_IMAGE,
     RUNNING,
@@ -34,7 +37,7 @@
     EXITED
   }
 
-  /** Why a task has exited; NONE as long as it has not. */
+  /** The reason why a task has exited; {@code NONE} for a task that has not exited. */
   public enum ExitReason {
     COMPLETED,
     STOPPED,
@@ -45,19 +48,19 @@
     NONE
   }
 
-  /** A task on a machine, as its worker reports it. */
+  /** The status of a task on a machine, as reported by the machine's worker. */
   public record TaskStatus(TaskId task, long attempt, TaskState state, ExitReason exitReason) {}
 
   /**
    * Reads a heartbeat, or a worker's response to a direct command, which has the same form.
    *
-   * @throws InvalidFieldException if a field is missing or not valid; it names the field
+   * @throws InvalidFieldException if a field is missing or invalid; it names the field
    */
   public static Heartbeat parse(byte @Nullable [] body) throws InvalidFieldException {
     return HeartbeatParser.parse(body);
   }
 
-  /** Whether this message was made after another one of the same worker. */
+  /** Returns whether the worker created this message after the one with the given numbers. */
   public boolean isNewerThan(long otherEpoch, long otherSequence) {
     return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
--- a/src/main/java/org/saffronshore/wire/InvalidFieldException.java
+++ b/src/main/java/org/saffronshore/wire/InvalidFieldException.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.NullMarked;
 
-/** A message or settings field that is missing or has a value that it may not have. */
+/** Thrown when a field of a message, a stored value or the settings is missing or invalid. */
 @NullMarked
 public final class InvalidFieldException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -10,10 +10,10 @@
   private final String problem;
 
   /**
-   * Names a field and what is wrong with it.
+   * Creates an exception that names a field and its problem.
    *
    * @param field the path of the field, or {@code body} for the message as a whole
-   * @param problem continues a sentence that begins with the field
+   * @param problem the rest of a sentence whose subject is the field, such as "must be a number"
    */
   public InvalidFieldException(String field, String problem) {
     super(null, null, false, false);
@@ -21,12 +21,12 @@
     this.problem = problem;
   }
 
-  /** The path of the field. */
+  /** Returns the path of the field, or {@code body} for the message as a whole. */
   public String field() {
     return field;
   }
 
-  /** The field, and what is wrong with it. */
+  /** Returns the path of the field and its problem, separated by a colon. */
   @Override
   public String getMessage() {
     return field + ": " + problem;
--- a/src/main/java/org/saffronshore/wire/JobStatusResponse.java
+++ b/src/main/java/org/saffronshore/wire/JobStatusResponse.java
@@ -6,8 +6,8 @@
  * The response to a user about a job.
  *
  * @param job the job's id
- * @param doneTasks how many tasks are done; shown of an open job only
- * @param runningTasks how many tasks run; shown of an open job only
+ * @param doneTasks the number of tasks that are done; sent only for an open job
+ * @param runningTasks the number of tasks that are running; sent only for an open job
  */
 public record JobStatusResponse(String job, Status status, int doneTasks, int runningTasks) {
 
@@ -27,23 +27,25 @@
     }
   }
 
-  /** An open job: running as soon as one of its tasks runs. */
+  /** Returns the status of an open job: running if any of its tasks is running, else pending. */
   public static JobStatusResponse open(String job, int doneTasks, int runningTasks) {
     Status status = runningTasks > 0 ? Status.RUNNING : Status.PENDING;
     return new JobStatusResponse(job, status, doneTasks, runningTasks);
   }
 
-  /** A job of which every task is done. */
+  /** Returns the status of a job with every task done. */
   public static JobStatusResponse done(String job) {
     return new JobStatusResponse(job, Status.DONE, 0, 0);
   }
 
-  /** A job that was cancelled, by itself or through one that it depends on. */
+  /**
+   * Returns the status of a job that was cancelled, directly or through one of its dependencies.
+   */
   public static JobStatusResponse cancelled(String job) {
     return new JobStatusResponse(job, Status.CANCELLED, 0, 0);
   }
 
-  /** The form in which it is sent. */
+  /** Returns the body of the response. */
   public ObjectNode toJson() {
     ObjectNode tree = Json.object().put("Uid", job).put("Status", status.wireName);
     if (status.open) {
--- a/src/main/java/org/saffronshore/wire/Json.java
+++ b/src/main/java/org/saffronshore/wire/Json.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads and writes message bodies. Only trees and streams are used: binding to classes by
- * reflection would take most of a start on a small share of a core.
+ * Reads and writes message bodies. Only trees and streams are used: on a small share of a core,
+ * binding to classes by reflection would take most of the start-up time.
  */
 public final class Json {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -19,32 +19,32 @@
 
   private Json() {}
 
-  /** A new object without fields. */
+  /** Returns a new object without fields. */
   public static ObjectNode object() {
     return JSON.createObjectNode();
   }
 
-  /** The body as a tree, or null when it is not exactly one JSON value. */
+  /** Returns the body as a tree, or null if it is not exactly one JSON value. */
   public static @Nullable JsonNode parse(byte[] body) {
     return read(JSON, body);
   }
 
-  /** The body of a message between controllers, or null when it is not CBOR. */
+  /** Returns a CBOR body, used between controllers, as a tree, or null if it is not one value. */
   public static @Nullable JsonNode parseCbor(byte[] body) {
     return read(CBOR, body);
   }
 
-  /** Reads a body token by token, where a tree of it would cost too much. */
+  /** Returns a parser that reads a body token by token, where a tree would be too expensive. */
   static JsonParser parser(byte[] body) throws IOException {
     return JSON.getFactory().createParser(body);
   }
 
-  /** The JSON text of a tree, in UTF-8. */
+  /** Returns the JSON text of a tree, in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     return write(JSON, node);
   }
 
-  /** The CBOR form of a tree. */
+  /** Returns the CBOR form of a tree. */
   public static byte[] cbor(JsonNode node) {
     return write(CBOR, node);
   }
@@ -62,29 +62,29 @@
     try {
       return mapper.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("a tree can always be serialized", e);
     }
   }
 
-  /** The text of a field, or null when it is absent, null or no text. */
+  /** Returns the value of a string field, or null if it is absent or not a string. */
   public static @Nullable String text(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value != null && value.isTextual() ? value.textValue() : null;
   }
 
-  /** The whole part of a field, or the default when it is absent or no number. */
+  /** Returns the integer part of a numeric field, or the default if absent or not a number. */
   public static long integer(JsonNode node, String field, long defaultValue) {
     JsonNode value = node.get(field);
     return value != null && value.isNumber() ? value.longValue() : defaultValue;
   }
 
-  /** The value of a field, or the default when it is absent or no number. */
+  /** Returns the value of a numeric field, or the default if it is absent or not a number. */
   public static double number(JsonNode node, String field, double defaultValue) {
     JsonNode value = node.get(field);
     return value != null && value.isNumber() ? value.doubleValue() : defaultValue;
   }
 
-  /** The value of a field; false when it is absent or no boolean. */
+  /** Returns the value of a boolean field; false if it is absent or not a boolean. */
   public static boolean bool(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value != null && value.isBoolean() && value.booleanValue();
--- a/src/main/java/org/saffronshore/wire/ListedMachine.java
+++ b/src/main/java/org/saffronshore/wire/ListedMachine.java
@@ -5,10 +5,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A machine as the cloud lists it. Everything but the id is null where the cloud does not say it.
+ * An entry of the cloud's list of machines. The address, type and zone are null if the cloud does
+ * not list them.
  *
- * @param failed whether the machine has stopped by itself
- * @param rentedForS seconds since the rental request, at the time that the list describes
+ * @param failed whether the cloud reports that the machine has stopped by itself
+ * @param rentedForS seconds from the rental request to the time that the list describes; 0 if the
+ *     cloud does not list it
  */
 public record ListedMachine(
     String id,
@@ -21,7 +23,7 @@
 
   private static final String STATUS_FAILED = "failed";
 
-  /** Reads one entry of the list; empty when it names no machine. */
+  /** Reads one entry of the list; empty if it has no machine id. */
   static Optional<ListedMachine> parse(JsonNode entry) {
     String id = Json.text(entry, "Uid");
     if (id == null) {
--- a/src/main/java/org/saffronshore/wire/MachineKind.java
+++ b/src/main/java/org/saffronshore/wire/MachineKind.java
@@ -1,8 +1,10 @@
 package org.saffronshore.wire;
 
-/** What a rental request names: a machine type, a zone, and whether it is a spot machine. */
+/**
+ * The kind of machine that a rental request asks for: machine type, zone, and spot or on-demand.
+ */
 public record MachineKind(String type, String zone, boolean spot) {
-  /** Whether the job may use machines of this kind. */
+  /** Returns whether the job's constraints allow machines of this kind. */
   public boolean isAllowedFor(JobSpec job) {
     return (!spot || job.spot())
         && (job.machineTypes() == null || job.machineTypes().contains(type))
--- a/src/main/java/org/saffronshore/wire/MachineListPage.java
+++ b/src/main/java/org/saffronshore/wire/MachineListPage.java
@@ -8,11 +8,11 @@
 /**
  * One page of the cloud's list of machines, in the order of their ids.
  *
- * @param isLast whether the list ends with this page
+ * @param isLast whether this is the last page of the list
  */
 public record MachineListPage(List<ListedMachine> machines, boolean isLast) {
 
-  /** Reads the body of the cloud's response; empty when it holds no list. */
+  /** Reads the body of the cloud's response; empty if it contains no list. */
   public static Optional<MachineListPage> parse(byte[] body) {
     JsonNode tree = Json.parse(body);
     if (tree == null || !tree.path("Cadres").isArray()) {
--- a/src/main/java/org/saffronshore/wire/MachineType.java
+++ b/src/main/java/org/saffronshore/wire/MachineType.java
@@ -10,12 +10,12 @@
 /**
  * A type of machine that the cloud rents out.
  *
- * @param cacheGb how much a machine can hold of images
- * @param imagePullGbPerS how fast it pulls an image
- * @param pricePerHour the price of an ordinary machine
- * @param spotPricePerHour the price of a spot machine; changes with time
- * @param bootS seconds from its rental until it can run tasks
- * @param zones the zones in which the cloud has it
+ * @param cacheGb the capacity of a machine's image cache
+ * @param imagePullGbPerS the rate at which a machine pulls an image
+ * @param pricePerHour the price of an on-demand machine
+ * @param spotPricePerHour the price of a spot machine, which varies over time
+ * @param bootS seconds from the rental of a machine until it can run tasks
+ * @param zones the zones in which the cloud offers this type
  */
 public record MachineType(
     String name,
@@ -29,11 +29,11 @@
     double bootS,
     List<String> zones) {
 
-  /** The most that a field with a number may say. */
+  /** The largest value of a numeric field. */
   private static final double MAX_NUMBER = 1e9;
 
   /**
-   * Reads the cloud's list of machine types, by name and in the order of the list.
+   * Reads the cloud's list of machine types and returns them by name, in the order of the list.
    *
    * @throws InvalidFieldException if a field is missing or invalid; it names the field
    */
@@ -58,7 +58,7 @@
     return all;
   }
 
-  /** Whether it differs from another in nothing but prices. */
+  /** Returns whether this type equals the other one in everything except prices. */
   public boolean equalsIgnoringPrices(@Nullable MachineType other) {
     return other != null
         && equals(
@@ -75,7 +75,9 @@
                 other.zones));
   }
 
-  /** Whether a task of the job fits on an empty machine, and is allowed there. */
+  /**
+   * Returns whether a task of the job fits on an empty machine of this type and is allowed there.
+   */
   public boolean fits(JobSpec job) {
     return cpus >= job.cpus()
         && gpus >= job.gpus()
--- a/src/main/java/org/saffronshore/wire/MachineTypeList.java
+++ b/src/main/java/org/saffronshore/wire/MachineTypeList.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The cloud's list of machine types, with the form in which the cloud sent it: that form is stored
- * as it is, fields that this version does not know included.
+ * The cloud's list of machine types, together with the JSON tree that the cloud sent. The tree is
+ * stored unchanged, including fields that are unknown to this version.
  */
 public final class MachineTypeList {
   private final JsonNode original;
@@ -16,7 +16,7 @@
     this.types = types;
   }
 
-  /** Reads the body of the cloud's response. */
+  /** Parses the body of the cloud's response. */
   public static MachineTypeList parse(byte[] body) throws InvalidFieldException {
     JsonNode tree = Json.parse(body);
     if (tree == null) {
@@ -25,22 +25,22 @@
     return parse(tree);
   }
 
-  /** Reads the stored form. */
+  /** Parses the stored form. */
   public static MachineTypeList parse(JsonNode stored) throws InvalidFieldException {
     return new MachineTypeList(stored, MachineType.parseAll(stored));
   }
 
-  /** The machine types by name, in the order of the list. */
+  /** Returns the machine types by name, in the order of the list. */
   public Map<String, MachineType> types() {
     return types;
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public JsonNode toJson() {
     return original;
   }
 
-  /** The size of the stored form in bytes. */
+  /** Returns the size of the stored form in bytes. */
   public int sizeBytes() {
     return Json.bytes(original).length;
   }
--- a/src/main/java/org/saffronshore/wire/Priority.java
+++ b/src/main/java/org/saffronshore/wire/Priority.java
@@ -15,18 +15,21 @@
     this.rank = rank;
   }
 
-  /** The rank of the class, from 0; one of higher rank may preempt one of lower rank. */
+  /**
+   * Returns the rank of the class, from 0; tasks of a higher rank may preempt tasks of a lower
+   * rank.
+   */
   public int rank() {
     return rank;
   }
 
-  /** The name that the protocol uses. */
+  /** Returns the name of the class in messages. */
   public String wireName() {
     return wireName;
   }
 
   /**
-   * The class of a name that the protocol uses.
+   * Returns the class with the given name in messages.
    *
    * @throws InvalidFieldException if there is no such class
    */
--- a/src/main/java/org/saffronshore/wire/RedirectResponse.java
+++ b/src/main/java/org/saffronshore/wire/RedirectResponse.java
@@ -4,13 +4,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends a worker to the leader.
+ * The response that redirects a worker to the leader.
  *
- * @param leader the leader's name; null where the worker has to find it by itself
+ * @param leader the name of the leader's node; null if the worker has to find the leader itself
  */
 public record RedirectResponse(@Nullable String leader) {
 
-  /** The form in which it is sent. */
+  /** Returns the body of the response. */
   public ObjectNode toJson() {
     ObjectNode tree = Json.object();
     if (leader != null) {
--- a/src/main/java/org/saffronshore/wire/RentalRequest.java
+++ b/src/main/java/org/saffronshore/wire/RentalRequest.java
@@ -3,12 +3,12 @@
 /**
  * A request to the cloud for new machines.
  *
- * @param name identifies the request: the cloud answers a repetition as it answered the first
- * @param count how many machines to rent
+ * @param name the idempotency key: the cloud answers a repeated request as it answered the first
+ * @param count the number of machines to rent
  */
 public record RentalRequest(String name, MachineKind kind, int count) {
 
-  /** The body of the request. */
+  /** Returns the body of the request. */
   public byte[] toBytes() {
     return Json.bytes(
         Json.object()
@@ -19,7 +19,7 @@
             .put("Count", count));
   }
 
-  /** The request as fields of a log line. */
+  /** Returns the request as {@code key=value} fields of a log line. */
   @Override
   public String toString() {
     return "order="
--- a/src/main/java/org/saffronshore/wire/RentalResponse.java
+++ b/src/main/java/org/saffronshore/wire/RentalResponse.java
@@ -8,12 +8,13 @@
 /**
  * The cloud's response to a rental request.
  *
- * @param machines ids of the rented machines
- * @param noCapacity whether the response is the error that the cloud has no such machine left
+ * @param machines the ids of the rented machines
+ * @param noCapacity whether the response is the error "no capacity": the cloud has no machine of
+ *     this kind left
  */
 public record RentalResponse(List<String> machines, boolean noCapacity) {
 
-  /** Reads the body of a response, successful or not; empty when it is no JSON value. */
+  /** Reads the body of a response, successful or not; empty if it is not one JSON value. */
   public static Optional<RentalResponse> parse(byte[] body) {
     JsonNode tree = Json.parse(body);
     if (tree == null) {
--- a/src/main/java/org/saffronshore/wire/ReturnRequest.java
+++ b/src/main/java/org/saffronshore/wire/ReturnRequest.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * A request to the cloud to take machines back.
+ * A request to the cloud to take back rented machines.
  *
- * @param machines their ids
+ * @param machines the ids of the machines
  */
 public record ReturnRequest(List<String> machines) {
 
-  /** The body of the request. */
+  /** Returns the body of the request. */
   public byte[] toBytes() {
     ObjectNode body = Json.object();
     ArrayNode ids = body.putArray("Cadres");
--- a/src/main/java/org/saffronshore/wire/TaskId.java
+++ b/src/main/java/org/saffronshore/wire/TaskId.java
@@ -1,15 +1,15 @@
 package org.saffronshore.wire;
 
 /**
- * One task of a job, written {@code wk-000412/3}.
+ * The id of one task of a job, written as {@code wk-000412/3}.
  *
  * @param job the job's id
- * @param index the task's number in its job, from 0
+ * @param index the task's index in its job, from 0
  */
 public record TaskId(String job, int index) {
 
   /**
-   * Reads the form that {@link #toString} writes.
+   * Parses the form that {@link #toString} returns.
    *
    * @throws InvalidFieldException if the text does not have that form
    */
@@ -23,7 +23,7 @@
         }
       }
     } catch (NumberFormatException e) {
-      // Any text of another form gets the same message.
+      // Reported below, with the same message as any other malformed text.
     }
     throw new InvalidFieldException("Leg", "must have the form wk-000412/3");
   }
--- a/src/test/java/org/saffronshore/config/SettingsTest.java
+++ b/src/test/java/org/saffronshore/config/SettingsTest.java
@@ -50,7 +50,10 @@
     assertTrue(settings.objectives().isEmpty());
   }
 
-  /** Expected are: value size, writes in a transaction, next request rate, next write rate. */
+  /**
+   * Each case gives the announced limits, and the expected value size, writes in a transaction,
+   * next request rate and next write rate.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/org/saffronshore/wire/JobSpecTest.java
+++ b/src/test/java/org/saffronshore/wire/JobSpecTest.java
@@ -13,8 +13,8 @@
 class JobSpecTest {
 
   /**
-   * A change to a good submission, as field and JSON value, and the field that the refusal must
-   * name.
+   * Each case changes one field of a valid submission to a JSON value, and gives the field that the
+   * exception must name.
    */
   @ParameterizedTest
   @CsvSource(
