--- a/src/main/java/org/saffronshore/config/Address.java
+++ b/src/main/java/org/saffronshore/config/Address.java
@@ -7,9 +7,10 @@
   private static final int MAX_PORT = 65_535;
 
   /**
-   * Reads an address of the form host:port.
+   * Parses an address of the form host:port.
    *
-   * @param field names the field in the failure
+   * @param field the path of the field, for the exception
+   * @throws InvalidFieldException if the text does not have that form or the port is out of range
    */
   public static Address parse(String field, String text) throws InvalidFieldException {
     int colon = text.lastIndexOf(':');
@@ -21,9 +22,9 @@
         }
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for every ill-formed address.
+      // Reported below, with the same message as any other malformed address.
     }
-    throw new InvalidFieldException(field, "must be an address such as 10.0.0.1:8080");
+    throw new InvalidFieldException(field, "must be host:port with a port from 0 to 65535");
   }
 
   @Override
--- a/src/main/java/org/saffronshore/config/TeamQuota.java
+++ b/src/main/java/org/saffronshore/config/TeamQuota.java
@@ -6,11 +6,11 @@
 import org.saffronshore.wire.FieldReader;
 import org.saffronshore.wire.InvalidFieldException;
 
-/** A team's guarantee and limit, in CPUs and GPUs; a limit of 0 means none. */
+/** A team's guaranteed and maximum CPUs and GPUs; a maximum of 0 means that there is no limit. */
 public record TeamQuota(
     String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
 
-  /** The teams by name, in the order of the settings file. */
+  /** Returns the teams by name, in the order of the settings file. */
   static Map<String, TeamQuota> parseAll(List<FieldReader> entries) throws InvalidFieldException {
     Map<String, TeamQuota> teams = new LinkedHashMap<>();
     for (FieldReader entry : entries) {
@@ -22,7 +22,9 @@
               entry.number("gpus", 0, Settings.MAX_NUMBER, 0),
               entry.number("gpus_max", 0, Settings.MAX_NUMBER, 0));
       if (teams.put(team.name(), team) != null) {
-        throw new InvalidFieldException(entry.path() + ".name", "is there twice");
+        throw new InvalidFieldException(
+            entry.path() + ".name",
+            "must be unique, but \"" + team.name() + "\" is the name of an earlier team");
       }
     }
     return teams;
--- a/src/main/java/org/saffronshore/wire/FieldReader.java
+++ b/src/main/java/org/saffronshore/wire/FieldReader.java
@@ -6,12 +6,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Checked access to the fields of an object. Every method throws {@link InvalidFieldException},
- * which names the field by its path, when the field is missing or not valid.
+ * Checked access to the fields of a JSON object. A method that reads a field throws {@link
+ * InvalidFieldException}, which names the field by its path, if the field is invalid, or if it is
+ * required and missing.
+ *
+ * @param node the object
+ * @param path the path of the object in the message; empty for the message itself
  */
 public record FieldReader(JsonNode node, String path) {
 
-  /** The fields of a value that has to be an object. */
+  /** Returns a reader of the fields of a value, which must be an object. */
   public static FieldReader of(@Nullable JsonNode node, String path) throws InvalidFieldException {
     if (node == null || !node.isObject()) {
       throw new InvalidFieldException(path.isEmpty() ? "body" : path, "must be an object");
@@ -27,17 +31,17 @@
     return value == null || value.isNull();
   }
 
-  /** Whether the field is there and not null. */
+  /** Returns whether the field is present and not null. */
   public boolean has(String field) {
     return !isAbsent(node.get(field));
   }
 
-  /** An object that has to be there. */
+  /** Returns the value of a required field that is an object. */
   public FieldReader object(String field) throws InvalidFieldException {
     return of(node.get(field), pathOf(field));
   }
 
-  /** A list of objects that has to be there. */
+  /** Returns the elements of a required field that is a list of objects. */
   public List<FieldReader> objects(String field) throws InvalidFieldException {
     List<FieldReader> all = new ArrayList<>();
     JsonNode values = node.get(field);
@@ -50,40 +54,40 @@
     return all;
   }
 
-  /** A text that has to be there and not empty. */
+  /** Returns the value of a required field that is a non-empty string. */
   public String text(String field) throws InvalidFieldException {
     JsonNode value = node.get(field);
     if (isAbsent(value) || !value.isTextual() || value.textValue().isEmpty()) {
-      throw new InvalidFieldException(pathOf(field), "must be a non-empty text");
+      throw new InvalidFieldException(pathOf(field), "must be a non-empty string");
     }
     return value.textValue();
   }
 
-  /** A text that is not empty, or null when it is absent or null. */
+  /** Returns the value of an optional field that is a non-empty string; null if absent or null. */
   public @Nullable String textOrNull(String field) throws InvalidFieldException {
     return has(field) ? text(field) : null;
   }
 
-  /** A list of texts, or null when it is absent or null. */
+  /** Returns the value of an optional field that is a list of strings; null if absent or null. */
   public @Nullable List<String> textsOrNull(String field) throws InvalidFieldException {
     if (!has(field)) {
       return null;
     }
     JsonNode values = node.get(field);
     if (!values.isArray()) {
-      throw new InvalidFieldException(pathOf(field), "must be a list of texts or null");
+      throw new InvalidFieldException(pathOf(field), "must be a list of strings or null");
     }
     List<String> all = new ArrayList<>();
     for (JsonNode value : values) {
       if (!value.isTextual()) {
-        throw new InvalidFieldException(pathOf(field), "must be a list of texts or null");
+        throw new InvalidFieldException(pathOf(field), "must be a list of strings or null");
       }
       all.add(value.textValue());
     }
     return List.copyOf(all);
   }
 
-  /** A number that has to be there and in a range. */
+  /** Returns the value of a required field that is a number from {@code min} to {@code max}. */
   public double number(String field, double min, double max) throws InvalidFieldException {
     JsonNode value = node.get(field);
     if (isAbsent(value) || !value.isNumber()) {
@@ -96,21 +100,22 @@
     return number;
   }
 
+  /** Returns the value of an optional field that is a number; the default if absent or null. */
   public double number(String field, double min, double max, double defaultValue)
       throws InvalidFieldException {
     return has(field) ? number(field, min, max) : defaultValue;
   }
 
-  /** A whole number that has to be there and in a range. */
+  /** Returns the value of a required field that is an integer from {@code min} to {@code max}. */
   public long integer(String field, long min, long max) throws InvalidFieldException {
     double number = number(field, (double) min, (double) max);
     if (number != Math.rint(number)) {
-      throw new InvalidFieldException(pathOf(field), "must be a whole number");
+      throw new InvalidFieldException(pathOf(field), "must be an integer");
     }
     return node.get(field).longValue();
   }
 
-  /** A boolean that has to be there. */
+  /** Returns the value of a required field that is a boolean. */
   public boolean bool(String field) throws InvalidFieldException {
     JsonNode value = node.get(field);
     if (isAbsent(value) || !value.isBoolean()) {
--- a/src/main/java/org/saffronshore/wire/HeartbeatParser.java
+++ b/src/main/java/org/saffronshore/wire/HeartbeatParser.java
@@ -11,18 +11,18 @@
 import org.saffronshore.wire.Heartbeat.TaskStatus;
 
 /**
- * Reads heartbeats token by token, without a tree: a large cluster sends hundreds in a second, and
- * what one costs is most of what a leader has to do.
+ * Parses heartbeats token by token, without building a tree: a large cluster sends hundreds per
+ * second, and handling them is most of the leader's work.
  */
 final class HeartbeatParser {
-  /** What a count is before it was read; no count is negative. */
+  /** The value of an integer field that has not been read yet; no valid value is negative. */
   private static final long ABSENT = -1;
 
   private HeartbeatParser() {}
 
   static Heartbeat parse(byte @Nullable [] body) throws InvalidFieldException {
     if (body == null) {
-      throw new InvalidFieldException("body", "is longer than a body may be");
+      throw new InvalidFieldException("body", "exceeds the maximum body length");
     }
     try (JsonParser parser = Json.parser(body)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -30,11 +30,11 @@
       }
       Heartbeat heartbeat = read(parser);
       if (parser.nextToken() != null) {
-        throw new InvalidFieldException("body", "is more than one JSON value");
+        throw new InvalidFieldException("body", "must be exactly one JSON value");
       }
       return heartbeat;
     } catch (IOException e) {
-      throw new InvalidFieldException("body", "is not JSON");
+      throw new InvalidFieldException("body", "must be valid JSON");
     }
   }
 
@@ -133,7 +133,9 @@
       case "running" -> TaskState.RUNNING;
       case "flushing" -> TaskState.CHECKPOINTING;
       case "ended" -> TaskState.EXITED;
-      default -> throw new InvalidFieldException("Legs.Status", "is not a state of a task");
+      default ->
+          throw new InvalidFieldException(
+              "Legs.Status", "must be fetching, running, flushing or ended");
     };
   }
 
@@ -163,13 +165,13 @@
   }
 
   private static InvalidFieldException missing(String field) {
-    return new InvalidFieldException(field, "is missing or not valid");
+    return new InvalidFieldException(field, "is missing");
   }
 
   private static String text(JsonParser parser, JsonToken value, String field)
       throws IOException, InvalidFieldException {
     if (value != JsonToken.VALUE_STRING || parser.getTextLength() == 0) {
-      throw new InvalidFieldException(field, "must be a non-empty text");
+      throw new InvalidFieldException(field, "must be a non-empty string");
     }
     return parser.getText();
   }
@@ -191,7 +193,7 @@
     long number =
         whole && Math.abs(parser.getDoubleValue()) < 0x1p63 ? parser.getValueAsLong() : -1;
     if (number < 0) {
-      throw new InvalidFieldException(field, "must be a whole number that is not negative");
+      throw new InvalidFieldException(field, "must be a non-negative integer");
     }
     return number;
   }
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -8,26 +8,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A job as a user submits it: an array of independent tasks, and what each may run on. Amounts are
- * those of one task.
+ * A job as submitted by a user: an array of independent tasks, their resource requirements and
+ * their placement constraints. Amounts are per task.
  *
- * @param id of the form that {@link #isValidId} checks
- * @param jobClass the kind of job that objectives name
+ * @param id the job's id, in the form that {@link #isValidId} checks
+ * @param jobClass the class of the job, by which objectives select jobs
  * @param team the name of the team that owns the job
- * @param tasks how many tasks, from 1 to {@link #MAX_TASKS}
- * @param image the container image that a machine needs
- * @param imageGb its size
+ * @param tasks the number of tasks, from 1 to {@link #MAX_TASKS}
+ * @param image the container image that a machine needs to run a task
+ * @param imageGb the size of the image
  * @param machineTypes the names of the machine types that tasks may run on; null for any
- * @param zone the zone that tasks have to run in; null for any
- * @param singleZone whether all tasks have to run in the same zone
- * @param spread whether no zone may have more tasks than {@link #spreadLimit}
+ * @param zone the zone in which tasks must run; null for any
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spread whether each zone may have at most {@link #spreadLimit} of the tasks
  * @param spot whether tasks may run on spot machines
- * @param estimatedRuntimeS how long a task runs, by the owner's estimate
- * @param checkpointIntervalS how often a task saves a checkpoint; 0 if it saves none
- * @param checkpointDurationS how long it takes to save one
- * @param deadlineS seconds after the submission by which the job should be done; infinite for none
- * @param dependencies ids of jobs that have to be done before any task of this one starts; each is
- *     there once
+ * @param estimatedRuntimeS the owner's estimate of a task's run time, in seconds
+ * @param checkpointIntervalS seconds between two checkpoints of a task; 0 if it saves none
+ * @param checkpointDurationS seconds that a task takes to save a checkpoint
+ * @param deadlineS seconds after the submission by which the job should be done; infinite if the
+ *     job has no deadline
+ * @param dependencies ids of the jobs that must be done before any task of this job starts, without
+ *     duplicates
  */
 public record JobSpec(
     String id,
@@ -51,28 +52,29 @@
     double deadlineS,
     List<String> dependencies) {
 
-  /** The most tasks of a job. */
+  /** The maximum number of tasks in a job. */
   public static final int MAX_TASKS = 100_000;
 
-  /** The field that names the job's team. */
+  /** The field with the name of the job's team. */
   public static final String TEAM_FIELD = "Crew";
 
-  /** The field of a submitted or stored job that names its dependencies. */
+  /** The field of a submitted or stored job with the ids of its dependencies. */
   public static final String DEPENDENCIES_FIELD = "Awaits";
 
   private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
 
-  /** The most that a field with a number may say. */
+  /** The largest value of a numeric field. */
   private static final double MAX_NUMBER = 1e9;
 
   /**
-   * Whether a text has the form of a job id, and may thus be part of a key of the state service.
+   * Returns whether a text has the form of a job id, so that it may be part of a key in the state
+   * service.
    */
   public static boolean isValidId(@Nullable String text) {
     return text != null && ID.matcher(text).matches();
   }
 
-  /** The id in a submission that may be malformed otherwise; null when there is none. */
+  /** Returns the id in a submission whose other fields may be malformed; null if it has none. */
   public static @Nullable String idOf(JsonNode body) {
     return Json.text(body, "Uid");
   }
@@ -89,9 +91,10 @@
       throw new InvalidFieldException("Uid", "must have the form wk-000412");
     }
     if (!"array".equals(fields.text("Shape"))) {
-      throw new InvalidFieldException("Shape", "must be array");
+      throw new InvalidFieldException("Shape", "must be \"array\"");
     }
-    // Read first: of several invalid fields the refusal names this one, which users may rely on.
+    // Read before the fields below: an error reports only the first invalid field, and users may
+    // rely on the order.
     List<String> machineTypes = fields.textsOrNull("Rigs");
     return new JobSpec(
         id,
@@ -125,7 +128,7 @@
     for (String id : named) {
       if (!isValidId(id)) {
         throw new InvalidFieldException(
-            DEPENDENCIES_FIELD, "must be a list of ids of the form wk-000412");
+            DEPENDENCIES_FIELD, "must be a list of job ids of the form wk-000412");
       }
       if (id.equals(ownId)) {
         throw new InvalidFieldException(DEPENDENCIES_FIELD, "must not name the job itself");
@@ -134,12 +137,12 @@
     return named.stream().distinct().toList();
   }
 
-  /** The same job with another priority. */
+  /** Returns a copy of this job with another priority. */
   public JobSpec withPriority(Priority newPriority) {
     return copyWith(newPriority, dependencies);
   }
 
-  /** The same job with other dependencies. */
+  /** Returns a copy of this job with other dependencies. */
   public JobSpec withDependencies(List<String> newDependencies) {
     return copyWith(priority, List.copyOf(newDependencies));
   }
@@ -168,12 +171,12 @@
         newDependencies);
   }
 
-  /** How many bytes the job takes in the form of {@link #toJson}. */
+  /** Returns the length in bytes of the JSON text of {@link #toJson}. */
   public int encodedLength() {
     return Json.bytes(toJson()).length;
   }
 
-  /** The form in which users submit a job and in which it is stored. */
+  /** Returns the form in which users submit the job and in which it is stored. */
   public ObjectNode toJson() {
     ObjectNode json = Json.object();
     json.put("Uid", id)
@@ -210,15 +213,15 @@
     return json;
   }
 
-  /** The most tasks that one zone may have if {@link #spread}: half of them, rounded up. */
+  /** Returns the maximum number of tasks in one zone if {@link #spread}: half, rounded up. */
   public int spreadLimit() {
     return (tasks + 1) / 2;
   }
 
   /**
-   * Whether a task of this job requires at least as much of every resource as one of another, and
-   * is allowed on no machine that the other is not allowed on. Where no task of the other fits,
-   * none of this one does.
+   * Returns whether a task of this job requires at least as much of every resource as a task of the
+   * other job, and is allowed only on machines on which the other job is allowed too. A machine on
+   * which no task of the other job fits then fits no task of this job either.
    */
   public boolean requiresAtLeast(JobSpec other) {
     return cpus >= other.cpus
@@ -229,7 +232,7 @@
         && (other.machineTypes == null || other.machineTypes.equals(machineTypes));
   }
 
-  /** Whether tasks save checkpoints, so that a stop loses only what came after the last one. */
+  /** Returns whether tasks save checkpoints, so that a stop loses only the work since the last. */
   public boolean supportsCheckpoints() {
     return checkpointIntervalS > 0;
   }
--- a/src/main/java/org/saffronshore/wire/SubmissionRequest.java
+++ b/src/main/java/org/saffronshore/wire/SubmissionRequest.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.NullMarked;
 import org.jspecify.annotations.Nullable;
 
-/** The body of a submission, which may be malformed. */
+/** A job submission, whose body may be malformed. */
 @NullMarked
 public final class SubmissionRequest {
   private final @Nullable JsonNode body;
@@ -13,24 +13,26 @@
     this.body = body;
   }
 
-  /** Reads a body; null stands for one that was too long to be read. */
+  /** Parses a body; null stands for a body that exceeded the maximum length. */
   public static SubmissionRequest read(byte @Nullable [] body) {
     return new SubmissionRequest(body == null ? null : Json.parse(body));
   }
 
-  /** The job's id, even if the submission is malformed otherwise; null when there is none. */
+  /** Returns the job's id, even if other fields are malformed; null if there is none. */
   public @Nullable String id() {
     return body == null ? null : JobSpec.idOf(body);
   }
 
   /**
-   * The job that is submitted.
+   * Returns the submitted job.
    *
-   * @throws InvalidFieldException if the body is no JSON, or a field is missing or not valid
+   * @throws InvalidFieldException if the body is too long or is not one JSON value, or if a field
+   *     is missing or invalid
    */
   public JobSpec job() throws InvalidFieldException {
     if (body == null) {
-      throw new InvalidFieldException("body", "is not JSON");
+      throw new InvalidFieldException(
+          "body", "must be exactly one JSON value within the maximum length");
     }
     return JobSpec.parse(body);
   }
