--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -53,8 +53,9 @@
   /** Handles a request if its path is the API's; false when it is not. */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
-      case METRICS_PATH -> get(request, responder, () -> respondMetrics(responder));
-      case STATUS_PATH -> get(request, responder, () -> responder.json(200, status.get().toJson()));
+      case METRICS_PATH -> handleGet(request, responder, () -> respondMetrics(responder));
+      case STATUS_PATH ->
+          handleGet(request, responder, () -> responder.json(200, status.get().toJson()));
       case SETTINGS_PATH -> handleSettings(request, responder);
       default -> {
         return false;
@@ -63,7 +64,7 @@
     return true;
   }
 
-  private static void get(Request request, Responder responder, Runnable respond) {
+  private static void handleGet(Request request, Responder responder, Runnable respond) {
     if (request.hasMethod("GET")) {
       respond.run();
     } else {
@@ -92,25 +93,25 @@
         RequestPriority.NORMAL,
         stored -> {
           if (stored.isMissing()) {
-            responder.json(200, versioned(OperatorSettings.DEFAULTS, 0));
+            responder.json(200, settingsWithVersion(OperatorSettings.DEFAULTS, 0));
           } else if (stored.isFound()) {
-            respondStored(stored, responder);
+            respondStoredSettings(stored, responder);
           } else {
             respondUnavailable(responder);
           }
         });
   }
 
-  private void respondStored(GetResult stored, Responder responder) {
+  private void respondStoredSettings(GetResult stored, Responder responder) {
     try {
       OperatorSettings settings = OperatorSettings.parse(stored.value(), teams);
-      responder.json(200, versioned(settings, stored.version()));
+      responder.json(200, settingsWithVersion(settings, stored.version()));
     } catch (InvalidFieldException e) {
       responder.error(500, "stored settings: " + e.getMessage());
     }
   }
 
-  private static ObjectNode versioned(OperatorSettings settings, long version) {
+  private static ObjectNode settingsWithVersion(OperatorSettings settings, long version) {
     ObjectNode tree = Json.object().put(VERSION_FIELD, version);
     tree.set(SETTINGS_FIELD, settings.toJson());
     return tree;
@@ -134,7 +135,7 @@
         RequestPriority.NORMAL,
         result -> {
           if (result.isCommitted()) {
-            responder.json(200, versioned(settings, result.revision()));
+            responder.json(200, settingsWithVersion(settings, result.revision()));
           } else if (result.isConflict()) {
             responder.error(409, "the settings have another version by now: read them again");
           } else {
--- a/src/main/java/org/saffronshore/admin/Metrics.java
+++ b/src/main/java/org/saffronshore/admin/Metrics.java
@@ -63,10 +63,10 @@
 
   private final Map<Counter, long[]> counts = new EnumMap<>(Counter.class);
   private final Map<Latency, Histogram> latencies = new EnumMap<>(Latency.class);
-  private final List<TaggedValue> tagged = new ArrayList<>();
+  private final List<FunctionMetric> functionMetrics = new ArrayList<>();
 
   /** A gauge, or a counter, that stands once for each value of some tags. */
-  private record TaggedValue(String name, Tags tags, boolean counts, DoubleSupplier value) {}
+  private record FunctionMetric(String name, Tags tags, boolean isCounter, DoubleSupplier value) {}
 
   /** Made by the first scrape, since it would add to every start otherwise. */
   private @Nullable PrometheusMeterRegistry registry;
@@ -104,7 +104,7 @@
 
   /** Adds a gauge; its name must be new. */
   public void gauge(String name, DoubleSupplier value) {
-    tagged.add(new TaggedValue(name, Tags.empty(), false, value));
+    functionMetrics.add(new FunctionMetric(name, Tags.empty(), false, value));
   }
 
   /**
@@ -113,12 +113,12 @@
    * @param tags names and values in turn
    */
   public void gauge(String name, DoubleSupplier value, String... tags) {
-    tagged.add(new TaggedValue(name, Tags.of(tags), false, value));
+    functionMetrics.add(new FunctionMetric(name, Tags.of(tags), false, value));
   }
 
   /** Adds one counter of several with the same name; its value must never fall. */
   public void counter(String name, DoubleSupplier value, String... tags) {
-    tagged.add(new TaggedValue(name, Tags.of(tags), true, value));
+    functionMetrics.add(new FunctionMetric(name, Tags.of(tags), true, value));
   }
 
   /** All metrics in the text form that Prometheus reads. */
@@ -134,7 +134,7 @@
     counts.forEach(
         (counter, cell) ->
             FunctionCounter.builder(PREFIX + counter.name, cell, value -> value[0]).register(all));
-    tagged.forEach(metric -> register(metric, all));
+    functionMetrics.forEach(metric -> register(metric, all));
     latencies.forEach((latency, histogram) -> register(latency, histogram, all));
     return all;
   }
@@ -153,8 +153,8 @@
         .register(registry);
   }
 
-  private static void register(TaggedValue metric, PrometheusMeterRegistry registry) {
-    if (metric.counts) {
+  private static void register(FunctionMetric metric, PrometheusMeterRegistry registry) {
+    if (metric.isCounter) {
       FunctionCounter.builder(PREFIX + metric.name, metric.value, DoubleSupplier::getAsDouble)
           .tags(metric.tags)
           .register(registry);
--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -45,7 +45,7 @@
   public Integer call() throws IOException, InvalidFieldException, InterruptedException {
     int port = freePort();
     int peerPort = freePort();
-    ControllerCommand.start(settings(port, peerPort));
+    ControllerCommand.start(trainingSettings(port, peerPort));
     loadLeaderClasses();
     HttpClient client = HttpClient.newHttpClient();
     long until = System.currentTimeMillis() + DURATION_MS;
@@ -56,7 +56,7 @@
     return CommandLine.ExitCode.OK;
   }
 
-  private static Settings settings(int port, int peerPort)
+  private static Settings trainingSettings(int port, int peerPort)
       throws IOException, InvalidFieldException {
     return Settings.parse(
         resource(SETTINGS_RESOURCE)
--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -71,7 +71,7 @@
   }
 
   private static Optional<MachineTypeList> typesIn(Response response) {
-    if (!response.ok()) {
+    if (!response.isOk()) {
       return Optional.empty();
     }
     try {
@@ -97,7 +97,7 @@
         RequestPriority.NORMAL,
         response ->
             callback.accept(
-                response.ok() ? MachineListPage.parse(response.body()) : Optional.empty()));
+                response.isOk() ? MachineListPage.parse(response.body()) : Optional.empty()));
   }
 
   /**
@@ -124,7 +124,7 @@
         "/hosts/return",
         new ReturnRequest(machines).toBytes(),
         RequestPriority.VITAL,
-        response -> callback.accept(response.ok()));
+        response -> callback.accept(response.isOk()));
   }
 
   /**
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -28,7 +28,7 @@
 
   static RentalResult of(Response response) {
     Optional<RentalResponse> body = RentalResponse.parse(response.body());
-    if (response.ok() && body.isPresent()) {
+    if (response.isOk() && body.isPresent()) {
       return new RentalResult(Outcome.RENTED, body.get().machines());
     }
     return new RentalResult(failure(response.status(), body), List.of());
--- a/src/main/java/org/saffronshore/http/AdmissionQueue.java
+++ b/src/main/java/org/saffronshore/http/AdmissionQueue.java
@@ -59,7 +59,7 @@
     return true;
   }
 
-  private @Nullable Runnable next() {
+  private @Nullable Runnable pollNext() {
     for (BoundedQueue queue : queues.values()) {
       Runnable handling = queue.requests.pollFirst();
       if (handling != null) {
@@ -73,7 +73,7 @@
     scheduled = false;
     try {
       for (int i = 0; i < SLICE_SIZE; i++) {
-        Runnable handling = next();
+        Runnable handling = pollNext();
         if (handling == null) {
           return;
         }
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -83,7 +83,8 @@
       byte @Nullable [] body,
       double timeoutS,
       Response.Callback callback) {
-    Exchange exchange = new Exchange(peer, request(peer, method, path, body), timeoutS, callback);
+    Exchange exchange =
+        new Exchange(peer, newRequest(peer, method, path, body), timeoutS, callback);
     Channel idle = pool.acquire(peer);
     if (idle != null) {
       exchange.start(idle);
@@ -109,7 +110,7 @@
         });
   }
 
-  private static FullHttpRequest request(
+  private static FullHttpRequest newRequest(
       Address peer, String method, String path, byte @Nullable [] body) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(
--- a/src/main/java/org/saffronshore/http/Response.java
+++ b/src/main/java/org/saffronshore/http/Response.java
@@ -24,7 +24,7 @@
     void onResponse(Response response);
   }
 
-  public boolean ok() {
+  public boolean isOk() {
     return status == 200;
   }
 
--- a/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
+++ b/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
@@ -32,7 +32,7 @@
             heartbeat,
             timeoutS,
             response ->
-                receiver.accept(response.ok() ? Optional.of(response.body()) : Optional.empty()));
+                receiver.accept(response.isOk() ? Optional.of(response.body()) : Optional.empty()));
         return;
       }
     }
--- a/src/main/java/org/saffronshore/peer/PeerClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerClient.java
@@ -47,7 +47,7 @@
   }
 
   private static Optional<PeerResponse> parse(Peer peer, Response response) {
-    if (!response.ok()) {
+    if (!response.isOk()) {
       return Optional.empty();
     }
     try {
--- a/src/main/java/org/saffronshore/state/CommitResult.java
+++ b/src/main/java/org/saffronshore/state/CommitResult.java
@@ -34,7 +34,7 @@
 
   static CommitResult parse(Response response) {
     JsonNode body = response.json();
-    if (response.ok() && body != null) {
+    if (response.isOk() && body != null) {
       return new CommitResult(
           Outcome.COMMITTED, Json.integer(body, ProtocolFields.REVISION, 0), Set.of());
     }
--- a/src/main/java/org/saffronshore/state/GetResult.java
+++ b/src/main/java/org/saffronshore/state/GetResult.java
@@ -24,7 +24,7 @@
   }
 
   static GetResult parse(Response response) {
-    JsonNode body = response.ok() ? response.json() : null;
+    JsonNode body = response.isOk() ? response.json() : null;
     if (body != null && body.has(ProtocolFields.VALUE)) {
       return new GetResult(
           Presence.FOUND,
--- a/src/main/java/org/saffronshore/state/LeaseGrant.java
+++ b/src/main/java/org/saffronshore/state/LeaseGrant.java
@@ -17,7 +17,7 @@
 
   /** The id of the lease; empty when none is known to have been created. */
   static OptionalLong parse(Response response) {
-    JsonNode lease = response.ok() ? response.json() : null;
+    JsonNode lease = response.isOk() ? response.json() : null;
     return lease == null
         ? OptionalLong.empty()
         : OptionalLong.of(Json.integer(lease, ProtocolFields.LEASE, 0));
--- a/src/main/java/org/saffronshore/state/LeaseRenewal.java
+++ b/src/main/java/org/saffronshore/state/LeaseRenewal.java
@@ -13,7 +13,7 @@
   UNKNOWN;
 
   static LeaseRenewal parse(Response response) {
-    if (response.ok()) {
+    if (response.isOk()) {
       return RENEWED;
     }
     return response.status() == 404 ? EXPIRED : UNKNOWN;
--- a/src/main/java/org/saffronshore/state/ListingPage.java
+++ b/src/main/java/org/saffronshore/state/ListingPage.java
@@ -16,7 +16,7 @@
 
   /** Reads a response; empty when it is not a listing. */
   static Optional<ListingPage> parse(Response response) {
-    JsonNode body = response.ok() ? response.json() : null;
+    JsonNode body = response.isOk() ? response.json() : null;
     if (body == null || !body.path(ProtocolFields.ITEMS).isArray()) {
       return Optional.empty();
     }
--- a/src/main/java/org/saffronshore/state/WatchResult.java
+++ b/src/main/java/org/saffronshore/state/WatchResult.java
@@ -35,7 +35,7 @@
   public record Event(String key, @Nullable JsonNode value, long version) {}
 
   static WatchResult parse(Response response, long afterRevision) {
-    JsonNode body = response.ok() ? response.json() : null;
+    JsonNode body = response.isOk() ? response.json() : null;
     if (body == null || !body.path(ProtocolFields.EVENTS).isArray()) {
       Outcome outcome = response.status() == 410 ? Outcome.COMPACTED : Outcome.UNKNOWN;
       return new WatchResult(outcome, afterRevision, List.of());
--- a/src/test/java/org/saffronshore/admin/AdminApiTest.java
+++ b/src/test/java/org/saffronshore/admin/AdminApiTest.java
@@ -30,19 +30,19 @@
           Set.of("red"),
           () -> new ControllerStatus("n-0", true, "n-0", 3, true, Optional.empty()));
 
-  private record Said(int status, String body) {
+  private record ReceivedResponse(int status, String body) {
     JsonNode json() {
       return Json.parse(body.getBytes(UTF_8));
     }
   }
 
-  private Said ask(String method, String path, String body) {
-    List<Said> said = new ArrayList<>();
+  private ReceivedResponse send(String method, String path, String body) {
+    List<ReceivedResponse> said = new ArrayList<>();
     assertTrue(
         api.handle(
             new Request(method, path, body.getBytes(UTF_8)),
             (status, type, bytes, retryAfterS) ->
-                said.add(new Said(status, new String(bytes, UTF_8)))));
+                said.add(new ReceivedResponse(status, new String(bytes, UTF_8)))));
     loop.pass(5);
     assertEquals(1, said.size());
     return said.get(0);
@@ -50,14 +50,14 @@
 
   @Test
   void settingsAreChangedOnlyWithTheirCurrentVersion() {
-    assertEquals(0, ask("GET", "/admin/settings", "").json().get("version").asLong());
+    assertEquals(0, send("GET", "/admin/settings", "").json().get("version").asLong());
     String change = "{\"version\":0,\"settings\":{\"period_s\":2,\"team_weights\":{\"red\":3}}}";
-    long version = ask("PUT", "/admin/settings", change).json().get("version").asLong();
-    JsonNode read = ask("GET", "/admin/settings", "").json();
+    long version = send("PUT", "/admin/settings", change).json().get("version").asLong();
+    JsonNode read = send("GET", "/admin/settings", "").json();
     assertEquals(version, read.get("version").asLong());
     assertEquals(2, read.at("/settings/period_s").asDouble());
     assertEquals(3, read.at("/settings/team_weights/red").asDouble());
-    assertEquals(409, ask("PUT", "/admin/settings", change).status());
+    assertEquals(409, send("PUT", "/admin/settings", change).status());
   }
 
   @ParameterizedTest
@@ -71,8 +71,9 @@
         "{\"team_weights\":{\"blue\":1}} | team_weights.blue",
         "{\"team_weights\":{\"red\":0}} | red"
       })
-  void invalidSettingIsRefusedByItsName(String settings, String field) {
-    Said said = ask("PUT", "/admin/settings", "{\"version\":0,\"settings\":" + settings + "}");
+  void invalidSettingIsRefusedWithItsFieldName(String settings, String field) {
+    ReceivedResponse said =
+        send("PUT", "/admin/settings", "{\"version\":0,\"settings\":" + settings + "}");
     assertEquals(400, said.status());
     assertTrue(said.json().get("field").asText().endsWith(field), said.body());
   }
@@ -81,11 +82,11 @@
   void metricsAndStatusAreServed() {
     metrics.increment(Metrics.Counter.TASKS_PLACED, 7);
     metrics.recordLatency(Metrics.Latency.CYCLE, 0.25);
-    String text = ask("GET", "/metrics", "").body();
+    String text = send("GET", "/metrics", "").body();
     assertTrue(text.contains("saffronshore_tasks_placed_total 7.0"), text);
     assertTrue(text.contains("saffronshore_cycle_seconds{quantile=\"0.5\"} 0.25"), text);
-    assertEquals(3, ask("GET", "/admin/status", "").json().get("term").asLong());
-    assertEquals(405, ask("POST", "/metrics", "").status());
+    assertEquals(3, send("GET", "/admin/status", "").json().get("term").asLong());
+    assertEquals(405, send("POST", "/metrics", "").status());
     assertFalse(api.handle(new Request("GET", "/work", new byte[0]), (s, t, b, r) -> {}));
   }
 }
--- a/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
+++ b/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
@@ -13,35 +13,35 @@
 
 class AdmissionQueueTest {
   private final ManualEventLoop loop = new ManualEventLoop();
-  private final AdmissionQueue admission =
+  private final AdmissionQueue queue =
       new AdmissionQueue(
           loop,
           Map.of(
               RequestClass.HEARTBEAT, 20, RequestClass.DECISION, 20, RequestClass.SUBMISSION, 20));
-  private final List<RequestClass> done = new ArrayList<>();
+  private final List<RequestClass> handled = new ArrayList<>();
 
   @Test
   void heartbeatsAreHandledBeforeDecisionsAndSubmissions() {
     for (int i = 0; i < 10; i++) {
       for (RequestClass rank :
           List.of(RequestClass.SUBMISSION, RequestClass.DECISION, RequestClass.HEARTBEAT)) {
-        assertTrue(admission.offer(rank, () -> done.add(rank)));
+        assertTrue(queue.offer(rank, () -> handled.add(rank)));
       }
     }
     loop.pass(0);
-    assertEquals(30, done.size());
-    assertEquals(done.stream().sorted().toList(), done);
+    assertEquals(30, handled.size());
+    assertEquals(handled.stream().sorted().toList(), handled);
   }
 
   @Test
-  void fullClassRefusesAtOnceWhileTheOthersAccept() {
+  void requestOfAFullClassIsRefusedWhileOtherClassesAreAccepted() {
     for (int i = 0; i < 20; i++) {
-      assertTrue(admission.offer(RequestClass.SUBMISSION, () -> done.add(RequestClass.SUBMISSION)));
+      assertTrue(queue.offer(RequestClass.SUBMISSION, () -> handled.add(RequestClass.SUBMISSION)));
     }
-    assertFalse(admission.offer(RequestClass.SUBMISSION, () -> done.add(RequestClass.SUBMISSION)));
-    assertTrue(admission.offer(RequestClass.HEARTBEAT, () -> done.add(RequestClass.HEARTBEAT)));
+    assertFalse(queue.offer(RequestClass.SUBMISSION, () -> handled.add(RequestClass.SUBMISSION)));
+    assertTrue(queue.offer(RequestClass.HEARTBEAT, () -> handled.add(RequestClass.HEARTBEAT)));
     loop.pass(0);
-    assertEquals(RequestClass.HEARTBEAT, done.get(0));
-    assertEquals(21, done.size());
+    assertEquals(RequestClass.HEARTBEAT, handled.get(0));
+    assertEquals(21, handled.size());
   }
 }
--- a/src/test/java/org/saffronshore/http/HttpTest.java
+++ b/src/test/java/org/saffronshore/http/HttpTest.java
@@ -55,11 +55,11 @@
     loop.group().shutdownGracefully();
   }
 
-  private Response ask(Address to, String path, int bytes, double timeoutS) {
-    return ask(client, to, path, bytes, timeoutS);
+  private Response post(Address to, String path, int bytes, double timeoutS) {
+    return post(client, to, path, bytes, timeoutS);
   }
 
-  private Response ask(HttpClient by, Address to, String path, int bytes, double timeoutS) {
+  private Response post(HttpClient by, Address to, String path, int bytes, double timeoutS) {
     CompletableFuture<Response> answer = new CompletableFuture<>();
     loop.execute(() -> by.send(to, "POST", path, new byte[bytes], timeoutS, answer::complete));
     return answer.join();
@@ -69,17 +69,17 @@
   void clientReusesItsConnectionOverManyRequests() {
     for (int i = 0; i < 30; i++) {
       assertEquals(
-          "POST /x " + i, new String(ask(address, "/x", i, 60).body(), StandardCharsets.UTF_8));
+          "POST /x " + i, new String(post(address, "/x", i, 60).body(), StandardCharsets.UTF_8));
     }
-    assertEquals(503, ask(address, "/later", 0, 60).status());
+    assertEquals(503, post(address, "/later", 0, 60).status());
   }
 
   /** Machines that are gone must not use up the connections that a node may have. */
   @Test
-  void connectionThatIsIdleForTooLongIsClosed() {
+  void connectionIdleBeyondTheMaximumIsClosed() {
     ConnectionLimit one = new ConnectionLimit(1);
     HttpClient hasty = new HttpClient(loop, loop.group(), one, 0.001);
-    assertEquals(200, ask(hasty, address, "/x", 0, 60).status());
+    assertEquals(200, post(hasty, address, "/x", 0, 60).status());
     CompletableFuture<Void> closed = new CompletableFuture<>();
     loop.scheduleWithFixedDelay(
         0.01,
@@ -89,7 +89,7 @@
           }
         });
     closed.join();
-    assertEquals(200, ask(hasty, address, "/x", 0, 60).status());
+    assertEquals(200, post(hasty, address, "/x", 0, 60).status());
   }
 
   /** A connection that is kept for later makes way for one that is due now. */
@@ -103,8 +103,8 @@
     HttpClient narrow = new HttpClient(loop, loop.group(), new ConnectionLimit(1), 60);
     Address second = new Address("127.0.0.1", other.port());
     for (int i = 0; i < 3; i++) {
-      assertEquals(200, ask(narrow, address, "/x", 0, 60).status());
-      assertEquals(204, ask(narrow, second, "/x", 0, 60).status());
+      assertEquals(200, post(narrow, address, "/x", 0, 60).status());
+      assertEquals(204, post(narrow, second, "/x", 0, 60).status());
     }
   }
 
@@ -131,7 +131,8 @@
     other.start(loop.group(), new Address("127.0.0.1", 0));
     HttpClient sleeper =
         new HttpClient(campaigning, campaigning.group(), new ConnectionLimit(9), 60);
-    assertEquals(Response.LOST, ask(sleeper, new Address("127.0.0.1", other.port()), "/x", 0, 0.2));
+    assertEquals(
+        Response.LOST, post(sleeper, new Address("127.0.0.1", other.port()), "/x", 0, 0.2));
     campaigning.group().shutdownGracefully();
   }
 
@@ -169,7 +170,7 @@
     }
     for (int round = 0; round < 3; round++) {
       for (HttpClient worker : workers) {
-        assertEquals(200, ask(worker, there, "/x", 0, 60).status());
+        assertEquals(200, post(worker, there, "/x", 0, 60).status());
       }
     }
   }
@@ -204,9 +205,9 @@
       for (int i = 0; i < 6; i++) {
         assertEquals(
             Response.NOT_SENT,
-            ask(narrow, new Address("127.0.0.1", full.getLocalPort()), "/x", 0, 0.05));
+            post(narrow, new Address("127.0.0.1", full.getLocalPort()), "/x", 0, 0.05));
       }
-      assertEquals(200, ask(narrow, address, "/x", 0, 60).status());
+      assertEquals(200, post(narrow, address, "/x", 0, 60).status());
     } finally {
       for (Socket socket : fill) {
         socket.close();
@@ -216,14 +217,14 @@
 
   /** To users 413 would mean: try again. */
   @Test
-  void bodyBeyondTheLimitIsRefusedAsMalformed() {
-    assertEquals(200, ask(address, "/x", HttpServer.MAX_BODY_BYTES, 60).status());
-    assertEquals(400, ask(address, "/x", HttpServer.MAX_BODY_BYTES + 1, 60).status());
+  void bodyBeyondTheLimitIsRefusedWith400() {
+    assertEquals(200, post(address, "/x", HttpServer.MAX_BODY_BYTES, 60).status());
+    assertEquals(400, post(address, "/x", HttpServer.MAX_BODY_BYTES + 1, 60).status());
   }
 
   @Test
-  void requestThatWasNotSentIsToldFromOneThatWasLost() {
-    assertEquals(Response.NOT_SENT, ask(new Address("127.0.0.1", 1), "/x", 0, 60));
-    assertEquals(Response.LOST, ask(address, "/never", 0, 0.05));
+  void requestThatWasNotSentIsDistinguishedFromOneThatWasLost() {
+    assertEquals(Response.NOT_SENT, post(new Address("127.0.0.1", 1), "/x", 0, 60));
+    assertEquals(Response.LOST, post(address, "/never", 0, 0.05));
   }
 }
