--- a/src/main/java/org/saffronshore/http/AdmissionQueue.java
+++ b/src/main/java/org/saffronshore/http/AdmissionQueue.java
@@ -6,14 +6,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Orders the requests that a controller handles. Under overload workers' heartbeats go first, since
- * tasks end without them, then decisions (polls and cancellations), then submissions. Requests are
- * handled in short slices, between which newly arrived ones are read. A class whose queue is full
- * refuses at once.
+ * A bounded priority queue of the requests that a controller handles. Workers' heartbeats have the
+ * highest priority, because tasks are stopped when heartbeats are not answered; decisions (polls
+ * and cancellations) come next, then submissions. Requests are handled in short slices, between
+ * which other actions of the event loop run. A request whose class has a full queue is refused
+ * immediately.
  */
 public final class AdmissionQueue {
 
-  /** Classes of requests, the most urgent first. */
+  /** Request classes in order of priority, highest first. */
   public enum RequestClass {
     HEARTBEAT,
     DECISION,
@@ -29,6 +30,11 @@
     }
   }
 
+  /**
+   * The maximum number of requests in a slice. Each slice is an action of its own on the event
+   * loop, so that newly arrived requests can be read in between. Netty reads from the network when
+   * all submitted actions have run or its time limit for running them has passed.
+   */
   private static final int SLICE_SIZE = 8;
 
   private final EventLoop loop;
@@ -36,16 +42,22 @@
   private boolean scheduled;
 
   /**
-   * A queue without requests.
+   * Creates an empty queue.
    *
-   * @param capacity how many requests of each class may wait; a class without one is refused
+   * @param capacity the maximum number of waiting requests by class; requests of a class without an
+   *     entry are always refused
    */
   public AdmissionQueue(EventLoop loop, Map<RequestClass, Integer> capacity) {
     this.loop = loop;
     capacity.forEach((requestClass, size) -> queues.put(requestClass, new BoundedQueue(size)));
   }
 
-  /** Queues a request; false when there is no room for more of its class. */
+  /**
+   * Adds a request to the queue of its class.
+   *
+   * @param handling handles the request; called on the event loop
+   * @return false if the queue of the class is full and the request was not added
+   */
   public boolean offer(RequestClass requestClass, Runnable handling) {
     BoundedQueue queue = queues.get(requestClass);
     if (queue == null || queue.requests.size() >= queue.capacity) {
--- a/src/main/java/org/saffronshore/http/ConnectionLimit.java
+++ b/src/main/java/org/saffronshore/http/ConnectionLimit.java
@@ -1,10 +1,13 @@
 package org.saffronshore.http;
 
-/** How many connections one part of a controller may hold, out of the sockets of the process. */
+/**
+ * A limit on the number of connections that one component of a controller holds, so that the
+ * components together stay within the socket limit of the process.
+ */
 public final class ConnectionLimit {
   /**
-   * Beyond this share of the limit, connections are closed after each response, so that a new one
-   * can always be accepted.
+   * The share of the limit above which connections are closed after each response, so that new
+   * connections can still be accepted.
    */
   private static final double KEEP_ALIVE_SHARE = 0.85;
 
@@ -15,7 +18,7 @@
     this.max = max;
   }
 
-  /** Takes a connection; false when all are in use. */
+  /** Reserves a connection; returns false if the limit has been reached. */
   public boolean tryAcquire() {
     if (inUse >= max) {
       return false;
@@ -24,12 +27,12 @@
     return true;
   }
 
-  /** Gives a connection back that was acquired. */
+  /** Releases a connection that was reserved with {@link #tryAcquire}. */
   public void release() {
     inUse--;
   }
 
-  /** Whether so few are left that connections should not be kept open between requests. */
+  /** Returns whether so few connections are left that none should be kept open between requests. */
   public boolean isNearlyExhausted() {
     return inUse > max * KEEP_ALIVE_SHARE;
   }
--- a/src/main/java/org/saffronshore/http/ConnectionPool.java
+++ b/src/main/java/org/saffronshore/http/ConnectionPool.java
@@ -10,10 +10,12 @@
 import org.saffronshore.config.Address;
 
 /**
- * Idle connections of a client, kept for reuse. One that stays idle for too long is closed:
- * machines come and go, and one that is gone closes nothing.
+ * The idle connections of a client, kept for reuse. A connection that stays idle for too long is
+ * closed: machines are replaced often, and a machine that has been removed does not close its
+ * connections.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // Nobody waits for an idle connection to close.
+@SuppressWarnings(
+    "FutureReturnValueIgnored") // The result of closing an idle connection is not used.
 final class ConnectionPool {
   private static final class IdleConnection {
     private final Address peer;
@@ -30,20 +32,22 @@
   private final double maxIdleS;
   private final Map<Address, ArrayDeque<IdleConnection>> byPeer = new HashMap<>();
 
-  /** The connection that has been idle for longest comes first. */
+  /** All idle connections, the one that has been idle for the longest time first. */
   private final Set<IdleConnection> oldestFirst = new LinkedHashSet<>();
 
   /**
-   * Starts without connections.
+   * Creates an empty pool.
    *
-   * @param maxIdleS how long an idle connection is kept, in seconds
+   * @param maxIdleS the time in seconds after which an idle connection is closed
    */
   ConnectionPool(EventLoop loop, double maxIdleS) {
     this.loop = loop;
     this.maxIdleS = maxIdleS;
   }
 
-  /** Takes a connection to a peer that is still open, the most recently used first. */
+  /**
+   * Removes and returns the most recently used open connection to a peer, or null if there is none.
+   */
   @Nullable Channel acquire(Address peer) {
     ArrayDeque<IdleConnection> connections = byPeer.get(peer);
     while (connections != null && !connections.isEmpty()) {
@@ -56,7 +60,7 @@
     return null;
   }
 
-  /** Keeps a connection that carries no request any more. */
+  /** Adds a connection whose exchange has ended. */
   void release(Address peer, Channel channel) {
     IdleConnection connection = new IdleConnection(peer, channel);
     connection.expiry = loop.schedule(maxIdleS, () -> close(connection));
@@ -65,8 +69,8 @@
   }
 
   /**
-   * Closes the connection that has been idle for longest, so that it does not stand in the way of a
-   * request that is due now; false when there is none.
+   * Closes the connection that has been idle for the longest time, so that a new request can use
+   * its place within the connection limit. Returns false if there is no idle connection.
    */
   boolean closeOldest() {
     if (oldestFirst.isEmpty()) {
--- a/src/main/java/org/saffronshore/http/EventLoop.java
+++ b/src/main/java/org/saffronshore/http/EventLoop.java
@@ -1,8 +1,9 @@
 package org.saffronshore.http;
 
 /**
- * The one thread that owns all mutable state of a controller, with its clock. Tests use one whose
- * clock they move. Times are seconds of a steady clock that has no relation to the time of day.
+ * The single thread that owns all mutable state of a controller, with its clock. Tests use an
+ * implementation whose clock they advance. Times are seconds on a monotonic clock that has no
+ * relation to the time of day.
  */
 public interface EventLoop {
 
@@ -11,31 +12,40 @@
     void cancel();
   }
 
-  /** The steady clock, in seconds. */
+  /** Returns the current time of the monotonic clock, in seconds. */
   double now();
 
-  /** The time of day in milliseconds; other controllers have it only roughly the same. */
+  /**
+   * Returns the time of day in milliseconds since the epoch. The clocks of different controllers
+   * agree only roughly.
+   */
   default long wallClockMs() {
     return System.currentTimeMillis();
   }
 
-  /** Runs an action once, after some seconds. */
-  Timer schedule(double seconds, Runnable action);
+  /** Runs an action once, after a delay in seconds. */
+  Timer schedule(double delayS, Runnable action);
 
-  /** Runs an action after what is already waiting to be read from the network. */
+  /**
+   * Runs an action as soon as possible, after the actions that have already been submitted. An
+   * action that is submitted while the network is being read runs after that read.
+   */
   default void execute(Runnable action) {
     schedule(0, action);
   }
 
-  /** Runs an action repeatedly, each time the given number of seconds after the last run ended. */
-  default void scheduleWithFixedDelay(double seconds, Runnable action) {
+  /**
+   * Runs an action repeatedly. The first run starts after the given delay in seconds, each further
+   * run the same delay after the previous run ended, even if that run threw an exception.
+   */
+  default void scheduleWithFixedDelay(double delayS, Runnable action) {
     schedule(
-        seconds,
+        delayS,
         () -> {
           try {
             action.run();
           } finally {
-            scheduleWithFixedDelay(seconds, action);
+            scheduleWithFixedDelay(delayS, action);
           }
         });
   }
--- a/src/main/java/org/saffronshore/http/HttpClient.java
+++ b/src/main/java/org/saffronshore/http/HttpClient.java
@@ -26,19 +26,19 @@
 import org.saffronshore.config.Address;
 
 /**
- * A client that keeps idle connections for reuse. A connection carries one request at a time; after
- * a time-out it is closed, and the request counts as lost.
+ * An HTTP client that keeps idle connections for reuse. A connection carries one request at a time.
+ * When a request times out, its connection is closed.
  */
 @SuppressWarnings(
-    "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
+    "FutureReturnValueIgnored") // A failed write or close is seen as an inactive channel.
 public final class HttpClient implements Client {
   /**
-   * Watches of the state service have no size limit; this bounds what is taken into memory, in
-   * bytes.
+   * The maximum size of a response body in bytes. Watch responses of the state service have no size
+   * limit of their own; this limit bounds the memory that a response takes.
    */
   private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-  /** How long an idle connection is usually kept, in seconds. */
+  /** The default time in seconds after which an idle connection is closed. */
   public static final double MAX_IDLE_S = 30;
 
   private final EventLoop loop;
@@ -47,10 +47,11 @@
   private final Bootstrap bootstrap;
 
   /**
-   * A client without connections.
+   * Creates a client without open connections.
    *
-   * @param connections how many connections it may hold; idle ones make way for new ones
-   * @param maxIdleS how long an idle connection is kept, in seconds
+   * @param connections the limit on connections; when it is reached, the connection that has been
+   *     idle for the longest time is closed to make room for a new one
+   * @param maxIdleS the time in seconds after which an idle connection is closed
    */
   public HttpClient(
       EventLoop loop, IoEventLoopGroup group, ConnectionLimit connections, double maxIdleS) {
@@ -126,7 +127,7 @@
     return request;
   }
 
-  /** One request and what becomes of it; it ends exactly once. */
+  /** A request and its response. An exchange finishes exactly once. */
   private final class Exchange extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Address peer;
     private final FullHttpRequest request;
@@ -151,7 +152,10 @@
       connection.writeAndFlush(request);
     }
 
-    /** Once the channel had the request, nobody can tell whether the other side will see it. */
+    /**
+     * Finishes the exchange without a response. A request that was written to a channel counts as
+     * lost, because it is unknown whether the server receives it.
+     */
     void fail() {
       finish(channel == null ? Response.NOT_SENT : Response.LOST, true);
     }
@@ -163,8 +167,8 @@
       finished = true;
       timeout.cancel();
       if (channel == null) {
-        // A machine without power never responds; the attempt to reach it must not hold its
-        // connection for longer.
+        // A machine that has lost power never accepts or refuses the connection. The pending
+        // attempt is closed so that it does not count towards the connection limit any longer.
         if (connecting != null) {
           connecting.close();
         }
@@ -179,8 +183,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      // After a pause of this process the network is read before timers fire: a response that
-      // arrived long ago must not be taken for a new one.
+      // After a pause of this process, the network is read before timers fire. A response that is
+      // read after the deadline may have arrived long ago and must not be treated as current.
       if (response.decoderResult().isFailure() || loop.now() > deadline) {
         fail();
         return;
--- a/src/main/java/org/saffronshore/http/HttpServer.java
+++ b/src/main/java/org/saffronshore/http/HttpServer.java
@@ -31,11 +31,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves HTTP/1.1 on one address. Connections stay open between requests. */
+/**
+ * An HTTP/1.1 server on one address. Connections stay open between requests unless the connection
+ * limit is nearly reached.
+ */
 @SuppressWarnings(
-    "FutureReturnValueIgnored") // A failed write or close shows as the end of the channel.
+    "FutureReturnValueIgnored") // A failed write or close is seen as an inactive channel.
 public final class HttpServer {
-  /** The longest body that the protocol lets anyone send, in bytes. */
+  /** The maximum size of a request body in the protocol, in bytes. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
@@ -44,16 +47,18 @@
   private @Nullable Channel channel;
 
   /**
-   * A server that does not listen yet.
+   * Creates a server that does not listen yet.
    *
-   * @param connections how many connections it may hold; more are closed as they come
+   * @param handler handles each request on the event loop
+   * @param connections the limit on connections; connections beyond it are closed when they are
+   *     accepted
    */
   public HttpServer(BiConsumer<Request, Responder> handler, ConnectionLimit connections) {
     this.handler = handler;
     this.connections = connections;
   }
 
-  /** Listens on an address. */
+  /** Starts to listen on an address. */
   public void start(IoEventLoopGroup group, Address address) throws InterruptedException {
     channel =
         new ServerBootstrap()
@@ -75,16 +80,21 @@
             .channel();
   }
 
-  /** The port that it listens on, which the system chose if the address named port 0. */
+  /**
+   * Returns the port that the server listens on. The operating system chooses the port if the
+   * address has port 0.
+   */
   public int port() {
     if (channel == null) {
-      throw new IllegalStateException("the server was not started");
+      throw new IllegalStateException(
+          "port() called before start(): the server does not listen yet");
     }
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
   private void accept(SocketChannel connection) {
-    // Past the limit a refusal must be quick: a connection that is never read would look healthy.
+    // A connection beyond the limit is closed immediately: clients would take a connection that is
+    // open but never read for a healthy one.
     if (!connections.tryAcquire()) {
       connection.close();
       return;
@@ -96,7 +106,8 @@
   }
 
   /**
-   * Answers an over-long body with 400: to the users of this protocol 413 would mean "try again".
+   * Aggregates request bodies, and answers a body above the size limit with 400. Clients of this
+   * protocol retry requests that are answered with 413.
    */
   private static final class BodyAggregator extends HttpObjectAggregator {
     BodyAggregator() {
@@ -106,13 +117,17 @@
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
       String uri = message instanceof HttpRequest r ? r.uri() : "?";
-      LOG.info("Refusing request: body too long: path={} limit_bytes={}", uri, MAX_BODY_BYTES);
+      LOG.info(
+          "Refusing request, body above the size limit: path={} limit_bytes={}",
+          uri,
+          MAX_BODY_BYTES);
       write(
           context,
           true,
           400,
           Responder.CONTENT_TYPE_JSON,
-          "{\"error\":\"the body is too long\"}".getBytes(UTF_8),
+          ("{\"error\":\"request body too large: expected at most " + MAX_BODY_BYTES + " bytes\"}")
+              .getBytes(UTF_8),
           0);
     }
   }
@@ -137,8 +152,8 @@
               if (!sent) {
                 sent = true;
                 // There may be more workers than connections. A worker whose connection is closed
-                // after the response connects again for its next heartbeat; one that cannot connect
-                // takes this controller for dead and tries another one.
+                // after the response connects again for its next heartbeat. A worker that cannot
+                // connect assumes that this controller has failed and tries another one.
                 write(
                     context,
                     close || connections.isNearlyExhausted(),
@@ -155,14 +170,16 @@
             }
           };
       if (message.decoderResult().isFailure()) {
-        responder.error(400, "not an HTTP request");
+        responder.error(
+            400,
+            "malformed HTTP request: request line, headers or body encoding invalid or too long");
         return;
       }
       try {
         handler.accept(request, responder);
       } catch (RuntimeException e) {
         LOG.error("Request failed: method={} path={}", request.method(), request.path(), e);
-        responder.retryLater(503, "internal error", 1);
+        responder.retryLater(503, "internal error while handling the request; retry later", 1);
       }
     }
 
--- a/src/main/java/org/saffronshore/http/NettyEventLoop.java
+++ b/src/main/java/org/saffronshore/http/NettyEventLoop.java
@@ -7,14 +7,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The event loop of a running controller: one thread of Netty. */
+/** The event loop of a running controller, on a single Netty thread. */
 public final class NettyEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
   private final IoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final io.netty.channel.EventLoop thread = group.next();
 
-  /** The same thread, for servers and clients. */
+  /** Returns the group that consists of the event loop thread, for servers and clients. */
   public IoEventLoopGroup group() {
     return group;
   }
@@ -25,13 +25,13 @@
   }
 
   @Override
-  public Timer schedule(double seconds, Runnable action) {
-    Runnable guarded = () -> run(action);
-    if (seconds <= 0) {
-      thread.execute(guarded);
+  public Timer schedule(double delayS, Runnable action) {
+    Runnable loggingFailures = () -> run(action);
+    if (delayS <= 0) {
+      thread.execute(loggingFailures);
       return () -> {};
     }
-    var future = thread.schedule(guarded, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    var future = thread.schedule(loggingFailures, (long) (delayS * 1e9), TimeUnit.NANOSECONDS);
     return () -> future.cancel(false);
   }
 
--- a/src/main/java/org/saffronshore/http/Request.java
+++ b/src/main/java/org/saffronshore/http/Request.java
@@ -5,20 +5,21 @@
 import org.saffronshore.wire.Json;
 
 /**
- * A request as its handler sees it.
+ * An HTTP request as its handler receives it.
  *
- * @param path without the query
- * @param body null when it was longer than a body may be
+ * @param path the path without the query string
+ * @param body the request body, or null if there is none; {@link HttpServer} passes an empty array
+ *     for a request without a body
  */
-@SuppressWarnings("ArrayRecordComponent") // The body is handed on, never compared or changed.
+@SuppressWarnings("ArrayRecordComponent") // The body is never compared or modified.
 public record Request(String method, String path, byte @Nullable [] body) {
 
-  /** The body as a JSON tree, or null when it is not exactly one JSON value. */
+  /** Returns the body as a JSON tree, or null if it is not exactly one JSON value. */
   public @Nullable JsonNode json() {
     return body == null ? null : Json.parse(body);
   }
 
-  public boolean hasMethod(String wantedMethod) {
-    return method.equals(wantedMethod);
+  public boolean hasMethod(String expected) {
+    return method.equals(expected);
   }
 }
--- a/src/main/java/org/saffronshore/http/Responder.java
+++ b/src/main/java/org/saffronshore/http/Responder.java
@@ -4,8 +4,8 @@
 import org.saffronshore.wire.Json;
 
 /**
- * Where the one response to a request goes. It may be sent at any later time, on the event loop;
- * further ones are ignored.
+ * Sends the response to one request. The response may be sent at any later time, on the event loop;
+ * only the first response is sent, further ones are ignored.
  */
 @FunctionalInterface
 public interface Responder {
@@ -15,26 +15,29 @@
    * Sends the response.
    *
    * @param contentType the media type of the body
-   * @param retryAfterS seconds for {@code Retry-After}; 0 for none
+   * @param retryAfterS the value of the {@code Retry-After} header in seconds, or 0 for no header
    */
   void send(int status, String contentType, byte[] body, int retryAfterS);
 
-  /** Whether the other side still waits: it closes the connection when it gives up. */
+  /**
+   * Returns whether the client still waits for the response. A client that gives up closes its
+   * connection.
+   */
   default boolean isConnected() {
     return true;
   }
 
-  /** Sends a JSON body. */
+  /** Sends a response with a JSON body. */
   default void json(int status, JsonNode body) {
     send(status, CONTENT_TYPE_JSON, Json.bytes(body), 0);
   }
 
-  /** Sends a refusal that is final. */
+  /** Sends an error response to a request that should not be retried. */
   default void error(int status, String problem) {
     send(status, CONTENT_TYPE_JSON, Json.bytes(Json.object().put("error", problem)), 0);
   }
 
-  /** Sends a refusal that tells after how many seconds to retry. */
+  /** Sends an error response that asks the client to retry after a number of seconds. */
   default void retryLater(int status, String problem, int retryAfterS) {
     send(status, CONTENT_TYPE_JSON, Json.bytes(Json.object().put("error", problem)), retryAfterS);
   }
--- a/src/main/java/org/saffronshore/http/package-info.java
+++ b/src/main/java/org/saffronshore/http/package-info.java
@@ -1,8 +1,8 @@
 /**
  * HTTP/1.1 for a controller, on Netty: the event loop with its clock, a server, a client with a
  * pool of idle connections, connection limits, and the admission queue that orders requests under
- * overload. Knows nothing of what the requests are about; uses {@code config} for addresses and
- * {@code wire} for JSON only.
+ * overload. This package does not depend on the contents of requests; it uses only {@code config},
+ * for addresses, and {@code wire}, for JSON.
  */
 @NullMarked
 package org.saffronshore.http;
