--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -18,9 +18,9 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The administration API, served on the peers' address and never on the users'. Settings live in
- * the state service and are changed by naming the version that was read, so that two operators do
- * not overwrite each other.
+ * The administration API. It is served on the address for peers, never on the address for users.
+ * Settings are stored in the state service. A change names the version of the settings that it is
+ * based on, so that two operators do not overwrite each other's changes.
  */
 public final class AdminApi {
   private static final String METRICS_PATH = "/metrics";
@@ -37,10 +37,10 @@
   private final Supplier<ControllerStatus> status;
 
   /**
-   * Serves nothing until requests are handed to it.
+   * Creates the API; requests are passed to {@link #handle}.
    *
-   * @param teams the teams that may have a weight of their own
-   * @param status the status of this controller at the moment
+   * @param teams the configured teams, whose weights may be set
+   * @param status supplies the current status of this controller
    */
   public AdminApi(
       StateClient state, Metrics metrics, Set<String> teams, Supplier<ControllerStatus> status) {
@@ -50,7 +50,7 @@
     this.status = status;
   }
 
-  /** Handles a request if its path is the API's; false when it is not. */
+  /** Handles a request if its path belongs to this API; returns false if it does not. */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
       case METRICS_PATH -> handleGet(request, responder, () -> respondMetrics(responder));
@@ -68,10 +68,17 @@
     if (request.hasMethod("GET")) {
       respond.run();
     } else {
-      responder.error(405, "GET only");
+      respondMethodNotAllowed(request, "GET", responder);
     }
   }
 
+  private static void respondMethodNotAllowed(
+      Request request, String expected, Responder responder) {
+    String problem =
+        "method " + request.method() + " not allowed for " + request.path() + ": expected ";
+    responder.error(405, problem + expected);
+  }
+
   private void respondMetrics(Responder responder) {
     byte[] body = metrics.scrape().getBytes(StandardCharsets.UTF_8);
     responder.send(200, METRICS_CONTENT_TYPE, body, 0);
@@ -83,7 +90,7 @@
     } else if (request.hasMethod("PUT")) {
       changeSettings(request.json(), responder);
     } else {
-      responder.error(405, "GET or PUT");
+      respondMethodNotAllowed(request, "GET or PUT", responder);
     }
   }
 
@@ -107,7 +114,7 @@
       OperatorSettings settings = OperatorSettings.parse(stored.value(), teams);
       responder.json(200, settingsWithVersion(settings, stored.version()));
     } catch (InvalidFieldException e) {
-      responder.error(500, "stored settings: " + e.getMessage());
+      responder.error(500, "stored settings are invalid: " + e.getMessage());
     }
   }
 
@@ -137,7 +144,12 @@
           if (result.isCommitted()) {
             responder.json(200, settingsWithVersion(settings, result.revision()));
           } else if (result.isConflict()) {
-            responder.error(409, "the settings have another version by now: read them again");
+            responder.error(
+                409,
+                "version "
+                    + version
+                    + " is not the current version of the settings:"
+                    + " read the settings again and repeat the change");
           } else {
             respondUnavailable(responder);
           }
--- a/src/main/java/org/saffronshore/admin/ControllerStatus.java
+++ b/src/main/java/org/saffronshore/admin/ControllerStatus.java
@@ -6,14 +6,14 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The status of a controller as operators see it.
+ * The status of a controller as the administration API shows it.
  *
- * @param node the controller's name
- * @param leading whether it may act as the leader at this moment
- * @param leaderNode the name of the leader; null while none is known
- * @param term the latest term that this controller led; 0 for none
+ * @param node the name of this controller
+ * @param leading whether this controller may currently act as the leader
+ * @param leaderNode the name of the leader, or null while no leader is known
+ * @param term the latest term that this controller led, or 0 if it has led none
  * @param stateServiceAvailable whether the state service responds to this controller
- * @param cluster what a leader manages; empty on other controllers
+ * @param cluster the counts that only a leader has; empty on other controllers
  */
 public record ControllerStatus(
     String node,
@@ -24,15 +24,15 @@
     Optional<ClusterStatus> cluster) {
 
   /**
-   * How much a leader manages.
+   * The numbers of jobs and machines that a leader manages.
    *
-   * @param unreconciledMachines machines that may still hold tasks of earlier terms
-   * @param waitingJobs jobs of which a dependency is not done yet
+   * @param unreconciledMachines the number of machines that may still hold tasks of earlier terms
+   * @param waitingJobs the number of jobs with at least one unfinished dependency
    */
   public record ClusterStatus(
       int openJobs, int machines, int unreconciledMachines, long waitingJobs) {}
 
-  /** The form in which it is sent. */
+  /** Returns the JSON form in which the status is sent. */
   public ObjectNode toJson() {
     ObjectNode tree =
         Json.object()
--- a/src/main/java/org/saffronshore/admin/Metrics.java
+++ b/src/main/java/org/saffronshore/admin/Metrics.java
@@ -15,12 +15,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a node counts. Counting is plain arithmetic on the loop; the registry is only made when
- * somebody asks for the metrics, since it would add to every start otherwise.
+ * The metrics of a controller. Counting is plain arithmetic on the event loop. The Micrometer
+ * registry is created by the first scrape, because it would lengthen every start otherwise.
  */
 public final class Metrics {
 
-  /** Counters, with the names that operators see. */
+  /** The counters, with the names under which they are exposed. */
   public enum Counter {
     JOBS_SUBMITTED("jobs_submitted"),
     REQUESTS_REFUSED("requests_refused"),
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Histograms of durations, with the names that operators see. */
+  /** The histograms of durations, with the names under which they are exposed. */
   public enum Latency {
     SUBMIT("submit"),
     POLL("poll"),
@@ -65,13 +65,13 @@
   private final Map<Latency, Histogram> latencies = new EnumMap<>(Latency.class);
   private final List<FunctionMetric> functionMetrics = new ArrayList<>();
 
-  /** A gauge, or a counter, that stands once for each value of some tags. */
+  /** A gauge or counter whose value is read from a function at each scrape. */
   private record FunctionMetric(String name, Tags tags, boolean isCounter, DoubleSupplier value) {}
 
-  /** Made by the first scrape, since it would add to every start otherwise. */
+  /** Null until the first scrape. */
   private @Nullable PrometheusMeterRegistry registry;
 
-  /** Starts with every counter at zero. */
+  /** Creates the metrics with all counters at zero. */
   public Metrics() {
     for (Counter counter : Counter.values()) {
       counts.put(counter, new long[1]);
@@ -81,47 +81,52 @@
     }
   }
 
-  /** Adds to a counter. */
+  /** Adds an amount to a counter. */
   public void increment(Counter counter, long amount) {
     cell(counter)[0] += amount;
   }
 
-  /** What a counter has reached. */
+  /** Returns the current value of a counter. */
   public long value(Counter counter) {
     return cell(counter)[0];
   }
 
   private long[] cell(Counter counter) {
-    return Objects.requireNonNull(counts.get(counter), "every counter has a cell");
+    return Objects.requireNonNull(counts.get(counter), "counter without a value");
   }
 
-  /** Records how long something took, in seconds. */
+  /** Records a duration in seconds. */
   public void recordLatency(Latency latency, double seconds) {
     long micros = (long) (seconds * MICROS_PER_S);
-    Objects.requireNonNull(latencies.get(latency), "every latency has a histogram")
+    Objects.requireNonNull(latencies.get(latency), "latency without a histogram")
         .recordValue(Math.min(MAX_MICROS, Math.max(0, micros)));
   }
 
-  /** Adds a gauge; its name must be new. */
+  /** Registers a gauge without tags; its name must not be in use. */
   public void gauge(String name, DoubleSupplier value) {
     functionMetrics.add(new FunctionMetric(name, Tags.empty(), false, value));
   }
 
   /**
-   * Adds one gauge of several with the same name.
+   * Registers a gauge that shares its name with gauges that have other tag values.
    *
-   * @param tags names and values in turn
+   * @param tags tag names and values, alternating
    */
   public void gauge(String name, DoubleSupplier value, String... tags) {
     functionMetrics.add(new FunctionMetric(name, Tags.of(tags), false, value));
   }
 
-  /** Adds one counter of several with the same name; its value must never fall. */
+  /**
+   * Registers a counter that shares its name with counters that have other tag values.
+   *
+   * @param value supplies the count; it must never decrease
+   * @param tags tag names and values, alternating
+   */
   public void counter(String name, DoubleSupplier value, String... tags) {
     functionMetrics.add(new FunctionMetric(name, Tags.of(tags), true, value));
   }
 
-  /** All metrics in the text form that Prometheus reads. */
+  /** Returns all metrics in the Prometheus text format. */
   public String scrape() {
     if (registry == null) {
       registry = registerAll();
@@ -130,13 +135,14 @@
   }
 
   private PrometheusMeterRegistry registerAll() {
-    PrometheusMeterRegistry all = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    PrometheusMeterRegistry created = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     counts.forEach(
         (counter, cell) ->
-            FunctionCounter.builder(PREFIX + counter.name, cell, value -> value[0]).register(all));
-    functionMetrics.forEach(metric -> register(metric, all));
-    latencies.forEach((latency, histogram) -> register(latency, histogram, all));
-    return all;
+            FunctionCounter.builder(PREFIX + counter.name, cell, value -> value[0])
+                .register(created));
+    functionMetrics.forEach(metric -> register(metric, created));
+    latencies.forEach((latency, histogram) -> register(latency, histogram, created));
+    return created;
   }
 
   private static void register(
--- a/src/main/java/org/saffronshore/admin/OperatorSettings.java
+++ b/src/main/java/org/saffronshore/admin/OperatorSettings.java
@@ -5,17 +5,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import org.saffronshore.scheduling.SchedulingSettings;
 import org.saffronshore.wire.FieldReader;
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
 /**
- * What operators set at run time: the parameters of the scheduling cycle, and the weights of teams
- * where they differ from the guaranteed quotas. Stored under {@code Keys.OPERATOR_SETTINGS}, and
- * shown to operators, in the form that {@link #parse} and {@link #toJson} define.
+ * The settings that operators change at run time: the parameters of the scheduling cycle, and the
+ * weights of teams where they differ from the guaranteed quotas. The JSON form that {@link #parse}
+ * and {@link #toJson} define is stored under {@code Keys.OPERATOR_SETTINGS} and shown to operators.
  *
- * @param teamWeights by team; a team that is not in it has its guaranteed quota as its weight
+ * @param scheduling the parameters of the scheduling cycle
+ * @param teamWeights weights by team; a team without an entry has its guaranteed quota as its
+ *     weight
  */
 public record OperatorSettings(SchedulingSettings scheduling, Map<String, Double> teamWeights) {
   public static final OperatorSettings DEFAULTS =
@@ -40,10 +43,11 @@
   private static final double MAX_WEIGHT = 1e6;
 
   /**
-   * Reads settings; a field that is left out has its default.
+   * Parses settings; a field that is absent has its default value.
    *
-   * @param teams the teams that there are
-   * @throws InvalidFieldException when a field has no valid value, or is not a setting
+   * @param teams the names of the configured teams
+   * @throws InvalidFieldException if a field has an invalid value, is not a setting, or names an
+   *     unknown team
    */
   public static OperatorSettings parse(JsonNode body, Set<String> teams)
       throws InvalidFieldException {
@@ -51,7 +55,8 @@
     for (var names = body.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       if (!FIELDS.contains(name)) {
-        throw new InvalidFieldException(name, "is not a setting");
+        throw new InvalidFieldException(
+            name, "is not a setting: expected one of " + new TreeSet<>(FIELDS));
       }
     }
     SchedulingSettings defaults = SchedulingSettings.DEFAULTS;
@@ -74,14 +79,16 @@
     for (var names = weights.node().fieldNames(); names.hasNext(); ) {
       String team = names.next();
       if (!teams.contains(team)) {
-        throw new InvalidFieldException(TEAM_WEIGHTS_FIELD + "." + team, "is not a team");
+        throw new InvalidFieldException(
+            TEAM_WEIGHTS_FIELD + "." + team,
+            "is not a team: expected one of " + new TreeSet<>(teams));
       }
       parsed.put(team, weights.number(team, MIN_TEAM_WEIGHT, MAX_WEIGHT));
     }
     return Map.copyOf(parsed);
   }
 
-  /** The form in which settings are stored and shown to operators. */
+  /** Returns the JSON form in which settings are stored and shown to operators. */
   public ObjectNode toJson() {
     ObjectNode settings =
         Json.object()
--- a/src/test/java/org/saffronshore/compatibility/AdministrationTest.java
+++ b/src/test/java/org/saffronshore/compatibility/AdministrationTest.java
@@ -104,7 +104,13 @@
     controller.follow();
     put(settings(0, "{}")).is(200, settings(3, START));
     put(settings(version, "{}"))
-        .is(409, error("the settings have another version by now: read them again"));
+        .is(
+            409,
+            error(
+                "version "
+                    + version
+                    + " is not the current version of the settings:"
+                    + " read the settings again and repeat the change"));
   }
 
   @ParameterizedTest
@@ -121,7 +127,9 @@
         "{\"version\":0.5} | version | must be a whole number",
         "{\"version\":0} | settings | must be an object",
         "{\"version\":0,\"settings\":[]} | settings | must be an object",
-        "{\"version\":0,\"settings\":{\"speed\":1}} | speed | is not a setting"
+        "{\"version\":0,\"settings\":{\"speed\":1}} | speed |"
+            + " is not a setting: expected one of [eviction_probability, gpu_weight,"
+            + " memory_weight, period_s, team_weights]"
       })
   void settingsInAnInvalidBodyAreRefusedWithTheField(String body, String field, String problem) {
     controller.follow();
@@ -138,7 +146,8 @@
         "gpu_weight | -1 | gpu_weight | must be from 0.0 to 1000000.0",
         "memory_weight | -1 | memory_weight | must be from 0.0 to 1000000.0",
         "team_weights | 7 | team_weights | must be an object",
-        "team_weights | {\"green\":1} | team_weights.green | is not a team",
+        "team_weights | {\"green\":1} | team_weights.green |"
+            + " is not a team: expected one of [blue, red, tight]",
         "team_weights | {\"red\":0} | team_weights.red | must be from 0.001 to 1000000.0",
         "team_weights | {\"red\":\"1\"} | team_weights.red | must be a number"
       })
@@ -158,7 +167,12 @@
     controller.follow();
     controller
         .administer("GET", "/admin/settings", null)
-        .is(500, error("stored settings: speed: is not a setting"));
+        .is(
+            500,
+            error(
+                "stored settings are invalid: speed: is not a setting: expected one of"
+                    + " [eviction_probability, gpu_weight, memory_weight, period_s,"
+                    + " team_weights]"));
   }
 
   @Test
@@ -173,10 +187,10 @@
 
   @ParameterizedTest
   @CsvSource({
-    "POST, /admin/settings, GET or PUT",
-    "DELETE, /admin/settings, GET or PUT",
-    "POST, /admin/status, GET only",
-    "POST, /metrics, GET only"
+    "POST, /admin/settings, method POST not allowed for /admin/settings: expected GET or PUT",
+    "DELETE, /admin/settings, method DELETE not allowed for /admin/settings: expected GET or PUT",
+    "POST, /admin/status, method POST not allowed for /admin/status: expected GET",
+    "POST, /metrics, method POST not allowed for /metrics: expected GET"
   })
   void aPathWithAnotherMethodIsNotAllowed(String method, String path, String problem) {
     controller.follow();
--- a/src/test/java/org/saffronshore/compatibility/StoredControlFormsTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredControlFormsTest.java
@@ -290,7 +290,9 @@
             + "'team_weights':{'blue':3.0,'red':0.5}} | 200 {'version':3,'settings':@}",
         "{'period_s':7} | 200 {'version':3,'settings':{'period_s':7.0,'eviction_probability':0.1,"
             + "'gpu_weight':1.0,'memory_weight':0.0,'team_weights':{}}}",
-        "{'unheard_of':7} | 500 {'error':'stored settings: unheard_of: is not a setting'}"
+        "{'unheard_of':7} | 500 {'error':'stored settings are invalid:"
+            + " unheard_of: is not a setting: expected one of [eviction_probability, gpu_weight,"
+            + " memory_weight, period_s, team_weights]'}"
       })
   void operatorsSettingsAreShown(String stored, String answer) {
     int port = StoredOperator.freePort();
