--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -18,20 +18,21 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller on loopback for a short time, without the services that it needs, so that the
- * build can archive the classes that it loads (class data sharing). This shortens the start of a
- * controller.
+ * Runs a controller on the loopback interface for a short time, without the services that it needs.
+ * The build archives the classes that are loaded meanwhile (class data sharing), which shortens the
+ * start of a controller.
  */
 @Command(
     name = "train-cds",
     hidden = true,
-    description = "Runs for a moment, for the build to archive classes.")
+    description = "Runs a controller briefly, so that the build can archive its classes (CDS).")
 final class CdsTrainingCommand implements Callable<Integer> {
   private static final String BASE_PACKAGE = "org.saffronshore.";
   private static final String SETTINGS_RESOURCE = "cds-training.json";
 
   /**
-   * One class a line, below {@link #BASE_PACKAGE}: those that only a leader or a candidate loads.
+   * The classes that only a leader or a candidate loads, one per line, relative to {@link
+   * #BASE_PACKAGE}.
    */
   private static final String CLASSES_RESOURCE = "cds-classes.txt";
 
@@ -48,8 +49,8 @@
     ControllerCommand.start(trainingSettings(port, peerPort));
     loadLeaderClasses();
     HttpClient client = HttpClient.newHttpClient();
-    long until = System.currentTimeMillis() + DURATION_MS;
-    while (System.currentTimeMillis() < until) {
+    long deadline = System.currentTimeMillis() + DURATION_MS;
+    while (System.currentTimeMillis() < deadline) {
       sendRequests(client, port, peerPort);
       Thread.sleep(ROUND_INTERVAL_MS);
     }
@@ -93,7 +94,7 @@
     try {
       client.send(request.build(), HttpResponse.BodyHandlers.discarding());
     } catch (IOException e) {
-      // The controller is still starting; the next round repeats the request.
+      // The controller may still be starting; the next round repeats the request.
     }
   }
 
@@ -103,7 +104,7 @@
         Class.forName(BASE_PACKAGE + name);
       } catch (ClassNotFoundException e) {
         throw new IllegalStateException(
-            "class-data-sharing training names an unknown class: " + name, e);
+            CLASSES_RESOURCE + " lists a class that does not exist: " + BASE_PACKAGE + name, e);
       }
     }
   }
--- a/src/main/java/org/saffronshore/cli/ControllerCommand.java
+++ b/src/main/java/org/saffronshore/cli/ControllerCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one controller until it is killed. */
+/** The command that runs one controller until its process is terminated. */
 @Command(
     name = "controller",
     description = "Runs one controller node until it is killed.",
@@ -26,7 +26,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ControllerCommand.class);
   private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
-  /** Requests to other services may use one in so many of the sockets of this process. */
+  /** The HTTP client for other services may hold one connection per this many sockets. */
   private static final int SOCKETS_PER_CLIENT_CONNECTION = 6;
 
   private static final int MIN_CLIENT_CONNECTIONS = 8;
@@ -61,7 +61,7 @@
       Thread.currentThread().interrupt();
       return ExitStatus.CANNOT_SERVE;
     } catch (Exception e) {
-      // Netty throws the failure to bind an address as an undeclared IOException.
+      // Netty throws the IOException of a failed bind without declaring it.
       LOG.error(
           "Cannot serve: node={} address={} peer_address={} error={}",
           settings.node(),
@@ -78,7 +78,7 @@
     return ExitStatus.RUNNING;
   }
 
-  /** Starts a controller, which runs on its event loop after this returns. */
+  /** Starts a controller, which keeps running on its event loop after this method returns. */
   static void start(Settings settings) throws InterruptedException {
     NettyEventLoop loop = new NettyEventLoop();
     int clientConnections =
--- a/src/main/java/org/saffronshore/cli/ExitStatus.java
+++ b/src/main/java/org/saffronshore/cli/ExitStatus.java
@@ -1,11 +1,11 @@
 package org.saffronshore.cli;
 
 /**
- * The exit statuses of the controller command, beside those of picocli for its usage. The values of
- * failures are those of sysexits.h.
+ * The exit statuses of the controller command, in addition to picocli's statuses for success and
+ * usage errors. Failures have the values that sysexits.h defines.
  */
 enum ExitStatus {
-  /** No exit: the command has returned, and the event loop goes on. */
+  /** Not an exit status: the command has returned, and the controller keeps running. */
   RUNNING(-1),
   /** EX_UNAVAILABLE: the controller cannot serve on its addresses. */
   CANNOT_SERVE(69),
--- a/src/main/java/org/saffronshore/cli/Logging.java
+++ b/src/main/java/org/saffronshore/cli/Logging.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** Sets up logging: to standard error, at the level that the platform names. */
+/** The set-up of logging, to standard error, at the level that the environment specifies. */
 final class Logging {
   private static final String PROPERTY_PREFIX = "org.slf4j.simpleLogger.";
   private static final String DEFAULT_LEVEL = "info";
@@ -13,10 +13,10 @@
   private Logging() {}
 
   /**
-   * Sets up logging, before the first logger is created.
+   * Sets up logging. Must be called before the first logger is created.
    *
-   * @param levelName the level of this program's loggers in any case; the default level where it is
-   *     null or unknown
+   * @param levelName the level of this program's loggers, in upper or lower case; if it is null or
+   *     unknown, the default level is used
    */
   static void setUp(@Nullable String levelName) {
     String level = levelName == null ? DEFAULT_LEVEL : levelName.toLowerCase(Locale.ROOT);
--- a/src/main/java/org/saffronshore/cli/Main.java
+++ b/src/main/java/org/saffronshore/cli/Main.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program. What it does is in its subcommands. */
+/** The entry point of the program, which dispatches to subcommands. */
 @Command(
     name = "saffronshore",
     description = "A cluster scheduler that rents its machines and survives failures.",
@@ -16,7 +16,7 @@
   @SuppressWarnings("NullAway.Init") // Set by picocli.
   private CommandLine.Model.CommandSpec spec;
 
-  /** Runs a subcommand. A controller runs on its event loop after this returns. */
+  /** Runs a subcommand. A controller keeps running on its event loop after this method returns. */
   public static void main(String[] args) {
     Logging.setUp(System.getenv("LOG_LEVEL"));
     int status = new CommandLine(new Main()).execute(args);
@@ -31,7 +31,7 @@
     return CommandLine.ExitCode.USAGE;
   }
 
-  /** The version that the build wrote into the manifest of the jar. */
+  /** The version from the manifest of the jar, which the build writes. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/org/saffronshore/cli/package-info.java
+++ b/src/main/java/org/saffronshore/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The program's command line: subcommands, exit statuses and the set-up of logging. Nothing else is
- * decided here; the work is done in {@code control}.
+ * The command-line interface of the program: subcommands, exit statuses and the set-up of logging.
+ * The controller itself is in {@code control}.
  */
 @NullMarked
 package org.saffronshore.cli;
