--- a/src/test/java/org/saffronshore/admin/AdminApiTest.java
+++ b/src/test/java/org/saffronshore/admin/AdminApiTest.java
@@ -37,27 +37,27 @@
   }
 
   private ReceivedResponse send(String method, String path, String body) {
-    List<ReceivedResponse> said = new ArrayList<>();
+    List<ReceivedResponse> responses = new ArrayList<>();
     assertTrue(
         api.handle(
             new Request(method, path, body.getBytes(UTF_8)),
             (status, type, bytes, retryAfterS) ->
-                said.add(new ReceivedResponse(status, new String(bytes, UTF_8)))));
+                responses.add(new ReceivedResponse(status, new String(bytes, UTF_8)))));
     loop.pass(5);
-    assertEquals(1, said.size());
-    return said.get(0);
+    assertEquals(1, responses.size());
+    return responses.get(0);
   }
 
   @Test
   void settingsAreChangedOnlyWithTheirCurrentVersion() {
     assertEquals(0, send("GET", "/admin/settings", "").json().get("version").asLong());
-    String change = "{\"version\":0,\"settings\":{\"period_s\":2,\"team_weights\":{\"red\":3}}}";
-    long version = send("PUT", "/admin/settings", change).json().get("version").asLong();
+    String request = "{\"version\":0,\"settings\":{\"period_s\":2,\"team_weights\":{\"red\":3}}}";
+    long version = send("PUT", "/admin/settings", request).json().get("version").asLong();
     JsonNode read = send("GET", "/admin/settings", "").json();
     assertEquals(version, read.get("version").asLong());
     assertEquals(2, read.at("/settings/period_s").asDouble());
     assertEquals(3, read.at("/settings/team_weights/red").asDouble());
-    assertEquals(409, send("PUT", "/admin/settings", change).status());
+    assertEquals(409, send("PUT", "/admin/settings", request).status());
   }
 
   @ParameterizedTest
@@ -72,19 +72,19 @@
         "{\"team_weights\":{\"red\":0}} | red"
       })
   void invalidSettingIsRefusedWithItsFieldName(String settings, String field) {
-    ReceivedResponse said =
+    ReceivedResponse response =
         send("PUT", "/admin/settings", "{\"version\":0,\"settings\":" + settings + "}");
-    assertEquals(400, said.status());
-    assertTrue(said.json().get("field").asText().endsWith(field), said.body());
+    assertEquals(400, response.status());
+    assertTrue(response.json().get("field").asText().endsWith(field), response.body());
   }
 
   @Test
   void metricsAndStatusAreServed() {
     metrics.increment(Metrics.Counter.TASKS_PLACED, 7);
     metrics.recordLatency(Metrics.Latency.CYCLE, 0.25);
-    String text = send("GET", "/metrics", "").body();
-    assertTrue(text.contains("saffronshore_tasks_placed_total 7.0"), text);
-    assertTrue(text.contains("saffronshore_cycle_seconds{quantile=\"0.5\"} 0.25"), text);
+    String scraped = send("GET", "/metrics", "").body();
+    assertTrue(scraped.contains("saffronshore_tasks_placed_total 7.0"), scraped);
+    assertTrue(scraped.contains("saffronshore_cycle_seconds{quantile=\"0.5\"} 0.25"), scraped);
     assertEquals(3, send("GET", "/admin/status", "").json().get("term").asLong());
     assertEquals(405, send("POST", "/metrics", "").status());
     assertFalse(api.handle(new Request("GET", "/work", new byte[0]), (s, t, b, r) -> {}));
--- a/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
+++ b/src/test/java/org/saffronshore/http/AdmissionQueueTest.java
@@ -23,9 +23,9 @@
   @Test
   void heartbeatsAreHandledBeforeDecisionsAndSubmissions() {
     for (int i = 0; i < 10; i++) {
-      for (RequestClass rank :
+      for (RequestClass requestClass :
           List.of(RequestClass.SUBMISSION, RequestClass.DECISION, RequestClass.HEARTBEAT)) {
-        assertTrue(queue.offer(rank, () -> handled.add(rank)));
+        assertTrue(queue.offer(requestClass, () -> handled.add(requestClass)));
       }
     }
     loop.pass(0);
--- a/src/test/java/org/saffronshore/http/HttpTest.java
+++ b/src/test/java/org/saffronshore/http/HttpTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.api.Test;
 import org.saffronshore.config.Address;
 
-/** The server and the client against each other, over loopback. */
-@SuppressWarnings("FutureReturnValueIgnored") // The groups end with the test process.
+/** Tests of the HTTP server and client against each other over the loopback interface. */
+@SuppressWarnings("FutureReturnValueIgnored") // The event loop groups end with the test process.
 class HttpTest {
   private final NettyEventLoop loop = new NettyEventLoop();
   private final HttpClient client =
       new HttpClient(loop, loop.group(), new ConnectionLimit(10), HttpClient.MAX_IDLE_S);
   private final HttpServer server =
       new HttpServer(
-          (request, reply) -> {
+          (request, responder) -> {
             if (request.path().equals("/later")) {
-              reply.retryLater(503, "not now", 7);
+              responder.retryLater(503, "not now", 7);
             } else if (!request.path().equals("/never")) {
-              reply.send(
+              responder.send(
                   200,
                   Responder.CONTENT_TYPE_JSON,
                   (request.method()
@@ -59,10 +59,11 @@
     return post(client, to, path, bytes, timeoutS);
   }
 
-  private Response post(HttpClient by, Address to, String path, int bytes, double timeoutS) {
-    CompletableFuture<Response> answer = new CompletableFuture<>();
-    loop.execute(() -> by.send(to, "POST", path, new byte[bytes], timeoutS, answer::complete));
-    return answer.join();
+  private Response post(HttpClient sender, Address to, String path, int bytes, double timeoutS) {
+    CompletableFuture<Response> response = new CompletableFuture<>();
+    loop.execute(
+        () -> sender.send(to, "POST", path, new byte[bytes], timeoutS, response::complete));
+    return response.join();
   }
 
   @Test
@@ -74,66 +75,69 @@
     assertEquals(503, post(address, "/later", 0, 60).status());
   }
 
-  /** Machines that are gone must not use up the connections that a node may have. */
+  /** Connections to machines that have been removed must not use up the connection limit. */
   @Test
   void connectionIdleBeyondTheMaximumIsClosed() {
-    ConnectionLimit one = new ConnectionLimit(1);
-    HttpClient hasty = new HttpClient(loop, loop.group(), one, 0.001);
-    assertEquals(200, post(hasty, address, "/x", 0, 60).status());
+    ConnectionLimit limit = new ConnectionLimit(1);
+    HttpClient shortIdleClient = new HttpClient(loop, loop.group(), limit, 0.001);
+    assertEquals(200, post(shortIdleClient, address, "/x", 0, 60).status());
     CompletableFuture<Void> closed = new CompletableFuture<>();
     loop.scheduleWithFixedDelay(
         0.01,
         () -> {
-          if (one.inUse() == 0) {
+          if (limit.inUse() == 0) {
             closed.complete(null);
           }
         });
     closed.join();
-    assertEquals(200, post(hasty, address, "/x", 0, 60).status());
+    assertEquals(200, post(shortIdleClient, address, "/x", 0, 60).status());
   }
 
-  /** A connection that is kept for later makes way for one that is due now. */
+  /** An idle connection must not prevent a request to another peer at the connection limit. */
   @Test
   void oldestIdleConnectionIsClosedAtTheConnectionLimit() throws InterruptedException {
-    HttpServer other =
+    HttpServer secondServer =
         new HttpServer(
-            (request, reply) -> reply.send(204, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
+            (request, responder) ->
+                responder.send(204, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
             new ConnectionLimit(9));
-    other.start(loop.group(), new Address("127.0.0.1", 0));
-    HttpClient narrow = new HttpClient(loop, loop.group(), new ConnectionLimit(1), 60);
-    Address second = new Address("127.0.0.1", other.port());
+    secondServer.start(loop.group(), new Address("127.0.0.1", 0));
+    HttpClient singleConnectionClient =
+        new HttpClient(loop, loop.group(), new ConnectionLimit(1), 60);
+    Address secondAddress = new Address("127.0.0.1", secondServer.port());
     for (int i = 0; i < 3; i++) {
-      assertEquals(200, post(narrow, address, "/x", 0, 60).status());
-      assertEquals(204, post(narrow, second, "/x", 0, 60).status());
+      assertEquals(200, post(singleConnectionClient, address, "/x", 0, 60).status());
+      assertEquals(204, post(singleConnectionClient, secondAddress, "/x", 0, 60).status());
     }
   }
 
   /**
-   * After a standstill the network is read before timers fire; what was answered long before must
-   * not pass for news.
+   * After a pause of the process, the network is read before timers fire. A response that arrived
+   * long before it is read must not be treated as current.
    */
   @Test
   void responseReadAfterItsDeadlineCountsAsLost() throws InterruptedException {
-    NettyEventLoop campaigning = new NettyEventLoop();
-    CountDownLatch still = new CountDownLatch(1);
-    HttpServer other =
+    NettyEventLoop pausedLoop = new NettyEventLoop();
+    CountDownLatch pauseStarted = new CountDownLatch(1);
+    HttpServer respondingServer =
         new HttpServer(
-            (request, reply) -> {
-              campaigning.execute(
+            (request, responder) -> {
+              pausedLoop.execute(
                   () -> {
-                    still.countDown();
+                    pauseStarted.countDown();
                     pause(0.4);
                   });
-              await(still);
-              reply.send(200, Responder.CONTENT_TYPE_JSON, new byte[0], 0);
+              await(pauseStarted);
+              responder.send(200, Responder.CONTENT_TYPE_JSON, new byte[0], 0);
             },
             new ConnectionLimit(9));
-    other.start(loop.group(), new Address("127.0.0.1", 0));
-    HttpClient sleeper =
-        new HttpClient(campaigning, campaigning.group(), new ConnectionLimit(9), 60);
+    respondingServer.start(loop.group(), new Address("127.0.0.1", 0));
+    HttpClient pausedClient =
+        new HttpClient(pausedLoop, pausedLoop.group(), new ConnectionLimit(9), 60);
     assertEquals(
-        Response.LOST, post(sleeper, new Address("127.0.0.1", other.port()), "/x", 0, 0.2));
-    campaigning.group().shutdownGracefully();
+        Response.LOST,
+        post(pausedClient, new Address("127.0.0.1", respondingServer.port()), "/x", 0, 0.2));
+    pausedLoop.group().shutdownGracefully();
   }
 
   private static void pause(double seconds) {
@@ -153,69 +157,75 @@
   }
 
   /**
-   * More workers than sockets: each finds a connection for its report, since none is kept that
-   * others need.
+   * With more workers than connections, every worker must be able to connect for its heartbeat. The
+   * server therefore closes connections after the response when few are left.
    */
   @Test
   void serverWithFewerConnectionsThanClientsServesAllOfThem() throws InterruptedException {
-    HttpServer small =
+    HttpServer smallServer =
         new HttpServer(
-            (request, reply) -> reply.send(200, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
+            (request, responder) ->
+                responder.send(200, Responder.CONTENT_TYPE_JSON, new byte[0], 0),
             new ConnectionLimit(8));
-    small.start(loop.group(), new Address("127.0.0.1", 0));
-    Address there = new Address("127.0.0.1", small.port());
+    smallServer.start(loop.group(), new Address("127.0.0.1", 0));
+    Address smallServerAddress = new Address("127.0.0.1", smallServer.port());
     List<HttpClient> workers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       workers.add(new HttpClient(loop, loop.group(), new ConnectionLimit(1), 60));
     }
     for (int round = 0; round < 3; round++) {
       for (HttpClient worker : workers) {
-        assertEquals(200, post(worker, there, "/x", 0, 60).status());
+        assertEquals(200, post(worker, smallServerAddress, "/x", 0, 60).status());
       }
     }
   }
 
   /**
-   * Machines that stop together never answer; what tries to reach them must not hold sockets for
-   * longer than asked.
+   * Machines that lose power together never accept or refuse a connection. Attempts to connect to
+   * them must not hold sockets for longer than the timeout of the request.
    */
   @Test
   void connectionAttemptEndsWithTheTimeoutOfItsRequest() throws Exception {
-    ConnectionLimit two = new ConnectionLimit(2);
-    HttpClient narrow = new HttpClient(loop, loop.group(), two, 60);
-    List<Socket> fill = new ArrayList<>();
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      // Nobody accepts: once its queue is full, the system drops further attempts without a word.
+    ConnectionLimit limit = new ConnectionLimit(2);
+    HttpClient twoConnectionClient = new HttpClient(loop, loop.group(), limit, 60);
+    List<Socket> sockets = new ArrayList<>();
+    try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      // No connection is accepted: once the backlog is full, the system silently drops attempts.
       for (int i = 0; i < 4; i++) {
         Socket socket = new Socket();
-        fill.add(socket);
-        Thread filler =
+        sockets.add(socket);
+        Thread connector =
             new Thread(
                 () -> {
                   try {
-                    socket.connect(full.getLocalSocketAddress());
+                    socket.connect(fullBacklog.getLocalSocketAddress());
                   } catch (IOException e) {
-                    // Its attempt ends with the test.
+                    // The attempt fails when the test closes the socket.
                   }
                 });
-        filler.setDaemon(true);
-        filler.start();
-        filler.join(200);
+        connector.setDaemon(true);
+        connector.start();
+        connector.join(200);
       }
       for (int i = 0; i < 6; i++) {
         assertEquals(
             Response.NOT_SENT,
-            post(narrow, new Address("127.0.0.1", full.getLocalPort()), "/x", 0, 0.05));
+            post(
+                twoConnectionClient,
+                new Address("127.0.0.1", fullBacklog.getLocalPort()),
+                "/x",
+                0,
+                0.05));
       }
-      assertEquals(200, post(narrow, address, "/x", 0, 60).status());
+      assertEquals(200, post(twoConnectionClient, address, "/x", 0, 60).status());
     } finally {
-      for (Socket socket : fill) {
+      for (Socket socket : sockets) {
         socket.close();
       }
     }
   }
 
-  /** To users 413 would mean: try again. */
+  /** Clients retry requests that are answered with 413. */
   @Test
   void bodyBeyondTheLimitIsRefusedWith400() {
     assertEquals(200, post(address, "/x", HttpServer.MAX_BODY_BYTES, 60).status());
