--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -18,9 +18,9 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The administration API, served on the peers' address and never on the users'. Settings live in
- * the state service and are changed by naming the version that was read, so that two operators do
- * not overwrite each other.
+ * The administration API. It is served on the address for peers, never on the address for users.
+ * Settings are stored in the state service. A change names the version of the settings that it is
+ * based on, so that two operators do not overwrite each other's changes.
  */
 public final class AdminApi {
   private static final String METRICS_PATH = "/metrics";
@@ -37,10 +37,10 @@
   private final Supplier<ControllerStatus> status;
 
   /**
-   * Serves nothing until requests are handed to it.
+   * Creates the API; requests are passed to {@link #handle}.
    *
-   * @param teams the teams that may have a weight of their own
-   * @param status the status of this controller at the moment
+   * @param teams the configured teams, whose weights may be set
+   * @param status supplies the current status of this controller
    */
   public AdminApi(
       StateClient state, Metrics metrics, Set<String> teams, Supplier<ControllerStatus> status) {
@@ -50,11 +50,12 @@
     this.status = status;
   }
 
-  /** Handles a request if its path is the API's; false when it is not. */
+  /** Handles a request if its path belongs to this API; returns false if it does not. */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
-      case METRICS_PATH -> get(request, responder, () -> respondMetrics(responder));
-      case STATUS_PATH -> get(request, responder, () -> responder.json(200, status.get().toJson()));
+      case METRICS_PATH -> handleGet(request, responder, () -> respondMetrics(responder));
+      case STATUS_PATH ->
+          handleGet(request, responder, () -> responder.json(200, status.get().toJson()));
       case SETTINGS_PATH -> handleSettings(request, responder);
       default -> {
         return false;
@@ -63,14 +64,21 @@
     return true;
   }
 
-  private static void get(Request request, Responder responder, Runnable respond) {
+  private static void handleGet(Request request, Responder responder, Runnable respond) {
     if (request.hasMethod("GET")) {
       respond.run();
     } else {
-      responder.error(405, "GET only");
+      respondMethodNotAllowed(request, "GET", responder);
     }
   }
 
+  private static void respondMethodNotAllowed(
+      Request request, String expected, Responder responder) {
+    String problem =
+        "method " + request.method() + " not allowed for " + request.path() + ": expected ";
+    responder.error(405, problem + expected);
+  }
+
   private void respondMetrics(Responder responder) {
     byte[] body = metrics.scrape().getBytes(StandardCharsets.UTF_8);
     responder.send(200, METRICS_CONTENT_TYPE, body, 0);
@@ -82,7 +90,7 @@
     } else if (request.hasMethod("PUT")) {
       changeSettings(request.json(), responder);
     } else {
-      responder.error(405, "GET or PUT");
+      respondMethodNotAllowed(request, "GET or PUT", responder);
     }
   }
 
@@ -92,25 +100,25 @@
         RequestPriority.NORMAL,
         stored -> {
           if (stored.isMissing()) {
-            responder.json(200, versioned(OperatorSettings.DEFAULTS, 0));
+            responder.json(200, settingsWithVersion(OperatorSettings.DEFAULTS, 0));
           } else if (stored.isFound()) {
-            respondStored(stored, responder);
+            respondStoredSettings(stored, responder);
           } else {
             respondUnavailable(responder);
           }
         });
   }
 
-  private void respondStored(GetResult stored, Responder responder) {
+  private void respondStoredSettings(GetResult stored, Responder responder) {
     try {
       OperatorSettings settings = OperatorSettings.parse(stored.value(), teams);
-      responder.json(200, versioned(settings, stored.version()));
+      responder.json(200, settingsWithVersion(settings, stored.version()));
     } catch (InvalidFieldException e) {
-      responder.error(500, "stored settings: " + e.getMessage());
+      responder.error(500, "stored settings are invalid: " + e.getMessage());
     }
   }
 
-  private static ObjectNode versioned(OperatorSettings settings, long version) {
+  private static ObjectNode settingsWithVersion(OperatorSettings settings, long version) {
     ObjectNode tree = Json.object().put(VERSION_FIELD, version);
     tree.set(SETTINGS_FIELD, settings.toJson());
     return tree;
@@ -134,9 +142,14 @@
         RequestPriority.NORMAL,
         result -> {
           if (result.isCommitted()) {
-            responder.json(200, versioned(settings, result.revision()));
+            responder.json(200, settingsWithVersion(settings, result.revision()));
           } else if (result.isConflict()) {
-            responder.error(409, "the settings have another version by now: read them again");
+            responder.error(
+                409,
+                "version "
+                    + version
+                    + " is not the current version of the settings:"
+                    + " read the settings again and repeat the change");
           } else {
             respondUnavailable(responder);
           }
