--- a/src/main/java/org/saffronshore/peer/PeerMessageFactory.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessageFactory.java
@@ -44,7 +44,7 @@
         incarnation.get(),
         ++lastSequence,
         stateService.isAvailable(),
-        stateService.lastResponseAgoS(),
+        stateService.lastResponseAgeS(),
         term,
         jobProgress);
   }
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -14,14 +14,14 @@
  * @param term the number of the term; -1 when it is not known
  */
 public record LeaderRecord(@Nullable String controller, @Nullable String incarnation, long term) {
-  private static final String NODE_FIELD = "Node";
+  private static final String CONTROLLER_FIELD = "Node";
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
 
   /** Reads a stored value; what is missing in it is not known. */
   public static LeaderRecord parse(JsonNode stored) {
     return new LeaderRecord(
-        Json.text(stored, NODE_FIELD),
+        Json.text(stored, CONTROLLER_FIELD),
         Json.text(stored, INCARNATION_FIELD),
         Json.integer(stored, TERM_FIELD, -1));
   }
@@ -29,7 +29,7 @@
   /** The stored form. */
   public ObjectNode toJson() {
     return Json.object()
-        .put(NODE_FIELD, controller)
+        .put(CONTROLLER_FIELD, controller)
         .put(INCARNATION_FIELD, incarnation)
         .put(TERM_FIELD, term);
   }
--- a/src/main/java/org/saffronshore/state/OpenJobChecker.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -19,7 +19,7 @@
  */
 final class OpenJobChecker {
   /** Checks may take this part of the controller's share of the request rate. */
-  private static final double RATE_PART = 0.5;
+  private static final double MAX_RATE_FRACTION = 0.5;
 
   /** A check of some jobs that waits for the results of all of them. */
   private static final class Check {
@@ -109,7 +109,7 @@
     Transaction transaction = new Transaction();
     // A job that was dropped from the cache meanwhile counts as ended: its outcome is read then.
     sent.keySet().forEach(job -> transaction.expectVersion(Keys.openJob(job), cache.version(job)));
-    nextRequestAt = loop.now() + 1 / (RATE_PART * state.requestShare());
+    nextRequestAt = loop.now() + 1 / (MAX_RATE_FRACTION * state.requestsPerS());
     state.commit(
         transaction,
         RequestPriority.NORMAL,
--- a/src/main/java/org/saffronshore/state/OutcomeReader.java
+++ b/src/main/java/org/saffronshore/state/OutcomeReader.java
@@ -86,14 +86,14 @@
             remaining.forEach(id -> outcomes.put(id, JobOutcome.UNKNOWN));
             callback.accept(outcomes);
           } else {
-            takeFrom(page.get(), remaining, outcomes);
+            recordPage(page.get(), remaining, outcomes);
             listRemaining(remaining, outcomes, callback);
           }
         });
   }
 
   /** A page settles all jobs up to its last key: those that are not in it have no outcome. */
-  private void takeFrom(
+  private void recordPage(
       ListingPage page, NavigableSet<String> remaining, Map<String, JobOutcome> outcomes) {
     for (StoredEntry entry : page.entries()) {
       String id = Keys.idOf(entry.key());
--- a/src/main/java/org/saffronshore/state/RateLimiter.java
+++ b/src/main/java/org/saffronshore/state/RateLimiter.java
@@ -8,7 +8,7 @@
  */
 public final class RateLimiter {
   /** The share of the burst that only vital requests may use. */
-  private static final double RESERVED = 0.2;
+  private static final double RESERVED_FRACTION = 0.2;
 
   private final EventLoop loop;
   private final double burstS;
@@ -54,14 +54,16 @@
   /** How many tokens normal requests may take now; negative when only the reserve is left. */
   public double available() {
     refill();
-    return tokens - RESERVED * burst();
+    return tokens - RESERVED_FRACTION * burst();
   }
 
   /** Takes tokens for a request; false, and none are taken, when there are too few. */
   public boolean tryAcquire(double amount, RequestPriority priority) {
     refill();
     double reserve =
-        priority == RequestPriority.VITAL ? 0 : Math.min(burst() * RESERVED, burst() - amount);
+        priority == RequestPriority.VITAL
+            ? 0
+            : Math.min(burst() * RESERVED_FRACTION, burst() - amount);
     if (tokens - amount < reserve) {
       return false;
     }
--- a/src/main/java/org/saffronshore/state/RequestBudget.java
+++ b/src/main/java/org/saffronshore/state/RequestBudget.java
@@ -14,16 +14,16 @@
  */
 final class RequestBudget {
   /** The leader's own part of all requests. */
-  private static final double LEADER_REQUESTS = 0.15;
+  private static final double LEADER_REQUEST_FRACTION = 0.15;
 
   /** The leader's own part of all writes. */
-  private static final double LEADER_WRITES = 0.3;
+  private static final double LEADER_WRITE_FRACTION = 0.3;
 
   private static final double REQUEST_BURST_S = 1;
   private static final double WRITE_BURST_S = 1.5;
 
   /** For how many worker leases the next limits are kept to after a refusal for the rate. */
-  private static final double NEXT_LIMITS_LEASES = 4;
+  private static final double NEXT_LIMITS_DURATION_LEASES = 4;
 
   private final EventLoop loop;
   private final Settings settings;
@@ -37,9 +37,10 @@
     this.settings = settings;
     this.requests =
         new RateLimiter(
-            loop, shareOf(settings.stateRequestsPerS(), LEADER_REQUESTS), REQUEST_BURST_S);
+            loop, shareOf(settings.stateRequestsPerS(), LEADER_REQUEST_FRACTION), REQUEST_BURST_S);
     this.writes =
-        new RateLimiter(loop, shareOf(settings.stateWritesPerS(), LEADER_WRITES), WRITE_BURST_S);
+        new RateLimiter(
+            loop, shareOf(settings.stateWritesPerS(), LEADER_WRITE_FRACTION), WRITE_BURST_S);
   }
 
   private double shareOf(double rate, double leaderPart) {
@@ -59,20 +60,20 @@
             nextLimits
                 ? Math.min(settings.stateRequestsPerS(), settings.nextStateRequestsPerS())
                 : settings.stateRequestsPerS(),
-            LEADER_REQUESTS));
+            LEADER_REQUEST_FRACTION));
     writes.setRate(
         shareOf(
             nextLimits
                 ? Math.min(settings.stateWritesPerS(), settings.nextStateWritesPerS())
                 : settings.stateWritesPerS(),
-            LEADER_WRITES));
+            LEADER_WRITE_FRACTION));
   }
 
   /** The service refused a request for its rate: its next limits may hold by now. */
   void onRateLimited() {
     if (settings.nextStateRequestsPerS() < settings.stateRequestsPerS()
         || settings.nextStateWritesPerS() < settings.stateWritesPerS()) {
-      double durationS = NEXT_LIMITS_LEASES * settings.workerLeaseS();
+      double durationS = NEXT_LIMITS_DURATION_LEASES * settings.workerLeaseS();
       nextLimitsUntil = loop.now() + durationS;
       updateRates();
       loop.schedule(durationS, this::updateRates);
--- a/src/main/java/org/saffronshore/state/StateClient.java
+++ b/src/main/java/org/saffronshore/state/StateClient.java
@@ -44,7 +44,7 @@
   }
 
   /** How many requests per second this controller may make. */
-  public double requestShare() {
+  public double requestsPerS() {
     return budget.requestsPerS();
   }
 
@@ -133,7 +133,7 @@
    * @param callback gets the keys; empty when any page of them could not be read
    */
   public void list(String prefix, RequestPriority priority, Consumer<Optional<Listing>> callback) {
-    listFurther(prefix, priority, Optional.empty(), callback);
+    listRemainingPages(prefix, priority, Optional.empty(), callback);
   }
 
   /**
@@ -171,7 +171,7 @@
    * Reads the pages that follow those read so far. Pages may be of different revisions: a watch
    * from that of the first one receives all changes that the others may lack.
    */
-  private void listFurther(
+  private void listRemainingPages(
       String prefix,
       RequestPriority priority,
       Optional<Listing> readSoFar,
@@ -195,7 +195,7 @@
           if (page.get().last()) {
             callback.accept(Optional.of(listing));
           } else {
-            listFurther(prefix, priority, Optional.of(listing), callback);
+            listRemainingPages(prefix, priority, Optional.of(listing), callback);
           }
         });
   }
--- a/src/main/java/org/saffronshore/state/StateServiceMonitor.java
+++ b/src/main/java/org/saffronshore/state/StateServiceMonitor.java
@@ -29,7 +29,7 @@
 
   /** Whether the state service responded to this controller a moment ago. */
   public boolean isAvailable() {
-    return lastResponseAgoS() < maxSilenceS;
+    return lastResponseAgeS() < maxSilenceS;
   }
 
   /** When the state service last responded, on the clock of the event loop. */
@@ -38,12 +38,12 @@
   }
 
   /** How many seconds ago the state service last responded. */
-  public double lastResponseAgoS() {
+  public double lastResponseAgeS() {
     return loop.now() - state.lastResponseAt();
   }
 
   private void probe() {
-    if (lastResponseAgoS() > probeIntervalS) {
+    if (lastResponseAgeS() > probeIntervalS) {
       // Only that a response arrives matters, and the client notes when one does.
       state.get(Keys.TERM, RequestPriority.VITAL, result -> {});
     }
--- a/src/main/java/org/saffronshore/state/StateTransport.java
+++ b/src/main/java/org/saffronshore/state/StateTransport.java
@@ -21,7 +21,7 @@
   private static final Response UNRESPONSIVE = new Response(503, new byte[0]);
 
   /** So many requests in a row without a response mean that the service does not respond. */
-  private static final int UNRESPONSIVE_AFTER = 3;
+  private static final int UNRESPONSIVE_THRESHOLD = 3;
 
   private static final int TOO_MANY_REQUESTS = 429;
 
@@ -31,7 +31,7 @@
   private final RequestBudget budget;
 
   /** Requests in a row that got no response. */
-  private int unanswered;
+  private int consecutiveFailures;
 
   private double lastSentAt;
   private double lastResponseAt = Double.NEGATIVE_INFINITY;
@@ -84,11 +84,11 @@
 
   /** One normal request per time limit is sent all the same, to notice that the service is back. */
   private boolean isUnresponsive(double timeoutS) {
-    return unanswered >= UNRESPONSIVE_AFTER && loop.now() < lastSentAt + timeoutS;
+    return consecutiveFailures >= UNRESPONSIVE_THRESHOLD && loop.now() < lastSentAt + timeoutS;
   }
 
   private void recordResponse(int status) {
-    unanswered = status > 0 ? 0 : unanswered + 1;
+    consecutiveFailures = status > 0 ? 0 : consecutiveFailures + 1;
     if (status > 0 && status < TOO_MANY_REQUESTS) {
       lastResponseAt = loop.now();
     } else if (status == TOO_MANY_REQUESTS) {
--- a/src/main/java/org/saffronshore/state/Submission.java
+++ b/src/main/java/org/saffronshore/state/Submission.java
@@ -14,16 +14,16 @@
 
   private final JobSpec job;
   private final ObjectNode stored;
-  private final int bytes;
+  private final int sizeBytes;
   private final Consumer<SubmissionResult> callback;
   private Set<String> openDependencies = Set.of();
-  private boolean verifiesDependencies;
+  private boolean provesDependenciesOpen;
   private boolean needsOwnTransaction;
 
   Submission(JobSpec job, long submittedMs, Consumer<SubmissionResult> callback) {
     this.job = job;
     this.stored = new JobRecord(submittedMs, job).toJson();
-    this.bytes = Json.bytes(stored).length;
+    this.sizeBytes = Json.bytes(stored).length;
     this.callback = callback;
   }
 
@@ -36,8 +36,8 @@
   }
 
   /** The length of the job's record, in bytes. */
-  int bytes() {
-    return bytes;
+  int sizeBytes() {
+    return sizeBytes;
   }
 
   void respond(SubmissionResult result) {
@@ -63,11 +63,11 @@
    */
   void chooseConditions(JobCache cache, int maxConditions) {
     JobCache.Closure closure = cache.closure(job.dependencies());
-    verifiesDependencies =
+    provesDependenciesOpen =
         closure.unread().isEmpty()
             && !closure.cancelled()
             && OWN_CONDITIONS + closure.open().size() <= maxConditions;
-    openDependencies = verifiesDependencies ? closure.open() : Set.of();
+    openDependencies = provesDependenciesOpen ? closure.open() : Set.of();
   }
 
   /** The open jobs of which the transaction proves that they are still open. */
@@ -92,6 +92,8 @@
 
   /** The result when the transaction was committed. */
   SubmissionResult acceptedResult() {
-    return verifiesDependencies ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED;
+    return provesDependenciesOpen
+        ? SubmissionResult.ACCEPTED
+        : SubmissionResult.ACCEPTED_UNVERIFIED;
   }
 }
--- a/src/main/java/org/saffronshore/state/SubmissionBatch.java
+++ b/src/main/java/org/saffronshore/state/SubmissionBatch.java
@@ -18,8 +18,8 @@
   private final int maxConditions;
   private final List<Submission> submissions = new ArrayList<>();
   private final Set<String> ids = new HashSet<>();
-  private int bytes;
-  private int conditions;
+  private int totalBytes;
+  private int totalConditions;
 
   SubmissionBatch(int maxSubmissions, int maxConditions) {
     this.maxSubmissions = maxSubmissions;
@@ -36,15 +36,15 @@
     return submissions.isEmpty()
         || (!ids.contains(submission.id())
             && !submission.needsOwnTransaction()
-            && bytes + submission.bytes() <= MAX_BYTES
-            && conditions + submission.conditionCount() <= maxConditions);
+            && totalBytes + submission.sizeBytes() <= MAX_BYTES
+            && totalConditions + submission.conditionCount() <= maxConditions);
   }
 
   void add(Submission submission) {
     submissions.add(submission);
     ids.add(submission.id());
-    bytes += submission.bytes();
-    conditions += submission.conditionCount();
+    totalBytes += submission.sizeBytes();
+    totalConditions += submission.conditionCount();
   }
 
   List<Submission> submissions() {
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -16,7 +16,7 @@
  */
 final class SubmissionQueue {
   /** How long to wait when the budget of writes is spent, in seconds. */
-  private static final double RETRY_S = 0.05;
+  private static final double WRITE_BUDGET_RETRY_S = 0.05;
 
   private static final int MIN_CAPACITY = 4;
 
@@ -79,7 +79,7 @@
     int maxSubmissions = Math.min(maxWrites, state.availableWrites());
     if (maxSubmissions < 1) {
       // The queue is short: all that waits is written within about a second.
-      loop.schedule(RETRY_S, this::commitNext);
+      loop.schedule(WRITE_BUDGET_RETRY_S, this::commitNext);
       return;
     }
     List<Submission> batch = takeBatch(maxSubmissions);
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -16,7 +16,7 @@
  */
 public record VoteRequest(
     @Nullable String candidate, @Nullable String incarnation, long term, long number) {
-  private static final String NODE_FIELD = "Node";
+  private static final String CANDIDATE_FIELD = "Node";
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
   private static final String NUMBER_FIELD = "N";
@@ -24,7 +24,7 @@
   /** Reads a stored value; what is missing in it is not known. */
   public static VoteRequest parse(JsonNode stored) {
     return new VoteRequest(
-        Json.text(stored, NODE_FIELD),
+        Json.text(stored, CANDIDATE_FIELD),
         Json.text(stored, INCARNATION_FIELD),
         Json.integer(stored, TERM_FIELD, -1),
         Json.integer(stored, NUMBER_FIELD, 0));
@@ -33,7 +33,7 @@
   /** The stored form. */
   public ObjectNode toJson() {
     return Json.object()
-        .put(NODE_FIELD, candidate)
+        .put(CANDIDATE_FIELD, candidate)
         .put(INCARNATION_FIELD, incarnation)
         .put(TERM_FIELD, term)
         .put(NUMBER_FIELD, number);
--- a/src/test/java/org/saffronshore/state/JobDependenciesTest.java
+++ b/src/test/java/org/saffronshore/state/JobDependenciesTest.java
@@ -71,17 +71,17 @@
     "4, OPEN OPEN OPEN CANCELLED OPEN",
     "5, OPEN OPEN OPEN OPEN CANCELLED"
   })
-  void jobIsCancelledWithAnyJobThatItDependsOn(int cancelled, String statuses) {
+  void jobIsCancelledWhenADependencyIsCancelled(int cancelled, String statuses) {
     submitChain();
     for (int n = 1; n <= 5; n++) {
-      assertEquals(JobStatus.OPEN, statusAt(store, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(store, n));
     }
     otherStore.cancel("wk-" + cancelled, results::add);
     takeResults();
     for (JobStore each : List.of(store, otherStore, newStore())) {
       List<String> found = new ArrayList<>();
       for (int n = 1; n <= 5; n++) {
-        found.add(statusAt(each, n).name());
+        found.add(lookUpStatus(each, n).name());
       }
       assertEquals(statuses, String.join(" ", found));
     }
@@ -90,17 +90,17 @@
         List.of(SubmissionResult.ACCEPTED_UNVERIFIED),
         takeResults(),
         "it is accepted all the same");
-    assertEquals(JobStatus.CANCELLED, statusAt(newStore(), 6));
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(newStore(), 6));
   }
 
   @Test
-  void jobStaysOpenWhenADoneDependencyIsToBeCancelled() {
+  void jobStaysOpenWhenCancellationOfACompletedDependencyIsRequested() {
     submitChain();
     complete(1);
     store.cancel("wk-1", results::add);
     assertEquals(List.of(JobStatus.DONE), takeResults());
     for (int n = 2; n <= 5; n++) {
-      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, n));
     }
   }
 
@@ -110,12 +110,12 @@
   @Test
   void lookUpOfAJobWithKnownDependenciesTakesOneRequest() {
     submitChain();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
     int before = service.log.size();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
     assertEquals(1, service.log.size() - before, service.log.toString());
     complete(1);
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
   }
 
   /** A controller does not read again what it accepted itself, however deep the chain is. */
@@ -127,7 +127,7 @@
       assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
       assertEquals(1, service.log.size() - before, service.log.toString());
     }
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 10));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 10));
   }
 
   /**
@@ -146,8 +146,8 @@
     assertEquals(
         List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED_UNVERIFIED),
         takeResults().stream().sorted().toList());
-    assertEquals(JobStatus.CANCELLED, statusAt(store, 6));
-    assertEquals(JobStatus.OPEN, statusAt(store, 7));
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(store, 6));
+    assertEquals(JobStatus.OPEN, lookUpStatus(store, 7));
   }
 
   /**
@@ -181,8 +181,8 @@
     int before = service.log.size();
     unreadStore.submit(job(1).withDependencies(dependencies), 0, results::add);
     assertEquals(List.of(result), takeResults());
-    assertEquals(status, statusAt(unreadStore, 1));
-    assertEquals(status, statusAt(newStore(2), 1));
+    assertEquals(status, lookUpStatus(unreadStore, 1));
+    assertEquals(status, lookUpStatus(newStore(2), 1));
     assertTrue(service.log.size() - before <= 30, service.log.size() - before + " requests");
     dependencies.add("wk-999999");
     newStore(2).submit(job(2).withDependencies(dependencies), 0, results::add);
@@ -193,7 +193,7 @@
   /** One of many is cancelled or done while the job that depends on them is open. */
   @ParameterizedTest
   @CsvSource({"20", "100", "400"})
-  void outcomeOfOneAmongManyDependenciesIsFound(int jobs) {
+  void lookUpFindsTheOutcomeOfOneAmongManyDependencies(int jobs) {
     List<String> dependencies = new ArrayList<>();
     for (int n = 1000; n < 1000 + jobs; n++) {
       dependencies.add("wk-" + n);
@@ -201,12 +201,12 @@
     }
     store.submit(job(1).withDependencies(dependencies), 0, results::add);
     takeResults();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 1));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 1));
     complete(1000);
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 1));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 1));
     store.cancel("wk-1010", results::add);
     takeResults();
-    assertEquals(JobStatus.CANCELLED, statusAt(otherStore, 1));
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(otherStore, 1));
   }
 
   @Test
--- a/src/test/java/org/saffronshore/state/JobLookupTest.java
+++ b/src/test/java/org/saffronshore/state/JobLookupTest.java
@@ -42,12 +42,12 @@
    * request rate.
    */
   @Test
-  void lookUpsInQuickSuccessionShareRequests() {
+  void concurrentLookUpsShareRequests() {
     service.txnOps = TestData.settings().maxTransactionWrites();
     for (int n = 1; n <= 60; n++) {
       service.put(
           "j/wk-" + n, Json.object().set("Spec", (n % 2 == 0 ? job(n, "wk-1") : job(n)).toJson()));
-      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, n));
     }
     complete(7);
     store.cancel("wk-9", results::add);
@@ -70,11 +70,11 @@
 
   /** The protocol does not say that a conflict names every key whose condition did not hold. */
   @Test
-  void jobsThatAConflictDoesNotNameAreCheckedAgain() {
+  void jobsNotNamedInAConflictAreCheckedAgain() {
     service.namesOneFailure = true;
     for (int n = 1; n <= 20; n++) {
       service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
-      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, n));
     }
     List.of(3, 5, 8).forEach(this::complete);
     store.cancel("wk-9", results::add);
@@ -99,7 +99,7 @@
   void lookUpsAreUnknownWhenTheStateServiceIsUnavailable() {
     for (int n = 1; n <= 60; n++) {
       service.put("j/wk-" + n, Json.object().set("Spec", job(n).toJson()));
-      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, n));
     }
     service.away = (method, path) -> true;
     for (int n = 1; n <= 60; n++) {
@@ -109,6 +109,6 @@
     assertEquals(60, results.stream().filter(JobStatus.UNKNOWN::equals).count());
     service.away = (method, path) -> false;
     results.clear();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 60));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 60));
   }
 }
--- a/src/test/java/org/saffronshore/state/JobStoreTestBase.java
+++ b/src/test/java/org/saffronshore/state/JobStoreTestBase.java
@@ -47,7 +47,7 @@
     return taken;
   }
 
-  final JobStatus statusAt(JobStore at, int number) {
+  final JobStatus lookUpStatus(JobStore at, int number) {
     at.lookUp("wk-" + number, results::add);
     return (JobStatus) takeResults().get(0);
   }
--- a/src/test/java/org/saffronshore/state/JobSubmissionTest.java
+++ b/src/test/java/org/saffronshore/state/JobSubmissionTest.java
@@ -9,7 +9,7 @@
 
 class JobSubmissionTest extends JobStoreTestBase {
   @Test
-  void jobIsAcceptedOnceByAllControllersTogether() {
+  void jobIsAcceptedOnceAcrossControllers() {
     store.submit(job(1), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
     otherStore.submit(job(1), 0, results::add);
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void duplicateAmongSubmissionsThatShareATransactionIsRefusedAlone() {
+  void duplicateInABatchIsTheOnlySubmissionRefused() {
     store.submit(job(3), 0, results::add);
     takeResults();
     int before = service.log.size();
@@ -55,7 +55,7 @@
 
   /** A submission that is committed late must not reopen a job that was cancelled meanwhile. */
   @Test
-  void submissionThatIsCommittedLateDoesNotReopenACancelledJob() {
+  void lateCommitDoesNotReopenACancelledJob() {
     service.held = (method, path) -> path.equals("/commit");
     store.submit(job(1), 0, results::add);
     assertEquals(List.of(SubmissionResult.UNKNOWN), takeResults());
@@ -74,7 +74,7 @@
    * with one that is too long are accepted all the same.
    */
   @Test
-  void malformedSubmissionDoesNotKeepOthersFromBeingAccepted() {
+  void malformedSubmissionDoesNotPreventOthersFromBeingAccepted() {
     service.valueBytes = 600;
     List<String> many = new ArrayList<>();
     for (int n = 100; n < 200; n++) {
@@ -94,8 +94,8 @@
         received.toString());
     assertEquals(
         1, received.stream().filter(SubmissionResult.UNKNOWN::equals).count(), received.toString());
-    assertEquals(JobStatus.NOT_FOUND, statusAt(otherStore, 3));
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.NOT_FOUND, lookUpStatus(otherStore, 3));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
   }
 
   @Test
