--- a/src/main/java/org/saffronshore/state/Submission.java
+++ b/src/main/java/org/saffronshore/state/Submission.java
@@ -17,7 +17,7 @@
   private final int sizeBytes;
   private final Consumer<SubmissionResult> callback;
   private Set<String> openDependencies = Set.of();
-  private boolean provesDependenciesOpen;
+  private boolean verifiesDependencies;
   private boolean needsOwnTransaction;
 
   Submission(JobSpec job, long submittedMs, Consumer<SubmissionResult> callback) {
@@ -63,11 +63,11 @@
    */
   void chooseConditions(JobCache cache, int maxConditions) {
     JobCache.Closure closure = cache.closure(job.dependencies());
-    provesDependenciesOpen =
+    verifiesDependencies =
         closure.unread().isEmpty()
             && !closure.cancelled()
             && OWN_CONDITIONS + closure.open().size() <= maxConditions;
-    openDependencies = provesDependenciesOpen ? closure.open() : Set.of();
+    openDependencies = verifiesDependencies ? closure.open() : Set.of();
   }
 
   /** The open jobs of which the transaction proves that they are still open. */
@@ -92,8 +92,6 @@
 
   /** The result when the transaction was committed. */
   SubmissionResult acceptedResult() {
-    return provesDependenciesOpen
-        ? SubmissionResult.ACCEPTED
-        : SubmissionResult.ACCEPTED_UNVERIFIED;
+    return verifiesDependencies ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED;
   }
 }
