--- a/src/main/java/org/saffronshore/state/FinishedTasksChunk.java
+++ b/src/main/java/org/saffronshore/state/FinishedTasksChunk.java
@@ -9,22 +9,22 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The stored form of a job's finished tasks: one entry for each range of task indexes of equal
- * length, so that an entry stays below what the state service takes. Chunks of the standard length
- * are under {@link Keys#FINISHED_TASKS} and hold only the bits; shorter ones are under {@link
- * Keys#FINISHED_TASKS_SHORT_CHUNKS} and hold their length too.
+ * The stored form of a job's finished tasks: one entry for each of the equally long ranges of task
+ * indexes, so that an entry fits into a value of the state service. Chunks of the standard length
+ * are under {@link Keys#FINISHED_TASKS} and hold only the bits; shorter chunks are under {@link
+ * Keys#FINISHED_TASKS_SHORT_CHUNKS} and also hold their length.
  *
- * @param length how many task indexes the chunk covers
- * @param tasks the finished ones, counted from the start of the chunk
+ * @param length the number of task indexes that the chunk covers
+ * @param tasks the finished tasks, as indexes relative to the start of the chunk
  */
 public record FinishedTasksChunk(int length, BitSet tasks) {
-  /** The length of chunks that need not say how long they are. */
+  /** The length of chunks that are stored without their length. */
   public static final int STANDARD_LENGTH = 32_768;
 
   private static final String BITS_FIELD = "Bits";
   private static final String LENGTH_FIELD = "Piece";
 
-  /** The chunk of a job's finished tasks that begins at {@code number * length}. */
+  /** Returns the chunk of a job's finished tasks that begins at {@code number * length}. */
   public static FinishedTasksChunk of(BitSet finishedTasks, int number, int length) {
     return new FinishedTasksChunk(
         length, finishedTasks.get(number * length, (number + 1) * length));
@@ -42,7 +42,7 @@
   /**
    * Reads a chunk that holds its length.
    *
-   * @param defaultLength its length if it holds none
+   * @param defaultLength the length of a chunk that holds none
    * @throws InvalidFieldException when the bits cannot be read
    */
   public static FinishedTasksChunk parseShort(JsonNode stored, int defaultLength)
@@ -59,12 +59,14 @@
         return BitSet.valueOf(bits);
       }
     } catch (IOException e) {
-      // Falls through to the one message for everything that holds no bits.
+      // Rejected below, together with values that are not strings.
     }
-    throw new InvalidFieldException(BITS_FIELD, "must be base64");
+    throw new InvalidFieldException(
+        BITS_FIELD,
+        "must be a Base64 string, found an undecodable value of type " + stored.getNodeType());
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public JsonNode toJson() {
     String bits = Base64.getEncoder().encodeToString(tasks.toByteArray());
     return length == STANDARD_LENGTH
@@ -76,36 +78,43 @@
    * Adds the finished tasks of this chunk to those of its job.
    *
    * @param number the chunk's number within the job
-   * @throws InvalidFieldException when it would hold tasks that no job can have
+   * @throws InvalidFieldException when the chunk has task indexes that no job can have
    */
   public void addTo(BitSet finishedTasks, int number) throws InvalidFieldException {
     long first = (long) number * length;
     if (first < 0 || first + tasks.length() > Integer.MAX_VALUE) {
-      throw new InvalidFieldException(LENGTH_FIELD, "is out of range");
+      throw new InvalidFieldException(
+          LENGTH_FIELD,
+          "must keep task indexes from 0 to "
+              + (Integer.MAX_VALUE - 1)
+              + ", found length "
+              + length
+              + " in chunk "
+              + number);
     }
     tasks.stream().forEach(task -> finishedTasks.set((int) first + task));
   }
 
-  /** The name of a chunk's entry. */
+  /** Returns the name of a chunk's entry. */
   public static String entryName(String job, int number) {
     return job + "/" + number;
   }
 
-  /** The job that an entry belongs to. */
+  /** Returns the id of the job that an entry belongs to. */
   public static String jobOf(String entryName) {
     return Keys.idOf(Keys.FINISHED_TASKS + entryName);
   }
 
   /**
-   * A chunk's number within its job.
+   * Returns a chunk's number within its job.
    *
-   * @throws InvalidFieldException when the entry's name holds none
+   * @throws InvalidFieldException when the entry's name does not end in a number
    */
   public static int numberOf(String entryName) throws InvalidFieldException {
     try {
       return Integer.parseInt(entryName.substring(entryName.lastIndexOf('/') + 1));
     } catch (NumberFormatException e) {
-      throw new InvalidFieldException(entryName, "must end in a chunk's number");
+      throw new InvalidFieldException(entryName, "must have the form <job>/<chunk number>");
     }
   }
 }
--- a/src/main/java/org/saffronshore/state/GetResult.java
+++ b/src/main/java/org/saffronshore/state/GetResult.java
@@ -19,7 +19,7 @@
     FOUND,
     MISSING,
 
-    /** The state service did not say. */
+    /** The request was not sent, got no response, or failed with a status other than 404. */
     UNKNOWN
   }
 
@@ -37,14 +37,15 @@
   }
 
   /**
-   * The stored form of a key that was found.
+   * Returns the stored form of a key that was found.
    *
    * @throws IllegalStateException when the key was not found
    */
   @Override
   public JsonNode value() {
     if (value == null) {
-      throw new IllegalStateException("a key that was not found has no value");
+      throw new IllegalStateException(
+          "key has no value: expected presence FOUND, found " + presence);
     }
     return value;
   }
--- a/src/main/java/org/saffronshore/state/LaunchWatermarkEntry.java
+++ b/src/main/java/org/saffronshore/state/LaunchWatermarkEntry.java
@@ -8,7 +8,7 @@
  * The stored form of a job's launch watermark: an entry of the pages under {@link
  * Keys#LAUNCH_WATERMARKS}, named after the job.
  *
- * @param watermark no task of the job from this index on was ever launched
+ * @param watermark the index from which on no task of the job was ever launched
  */
 public record LaunchWatermarkEntry(int watermark) {
 
@@ -19,12 +19,12 @@
    */
   public static LaunchWatermarkEntry parse(JsonNode stored) throws InvalidFieldException {
     if (!stored.canConvertToInt()) {
-      throw new InvalidFieldException("watermark", "must be a task index, and is " + stored);
+      throw new InvalidFieldException("watermark", "must be a task index, found " + stored);
     }
     return new LaunchWatermarkEntry(Math.max(0, stored.intValue()));
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public JsonNode toJson() {
     return IntNode.valueOf(watermark);
   }
--- a/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
+++ b/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
@@ -16,31 +16,31 @@
  * The stored form of a machine that may hold tasks: an entry of the pages under {@link
  * Keys#MACHINE_REGISTRY}, named after the machine.
  *
- * @param writtenAtMs the time of day at which it was written, in milliseconds since the epoch; far
- *     in the future when that was not recorded
- * @param possibleTasks all that the machine can hold; empty when it may hold anything
+ * @param writtenAtMs the time of day at which the entry was written, in milliseconds since the
+ *     epoch; far in the future when it was not recorded
+ * @param possibleTasks all tasks that the machine can hold; empty when it may hold any task
  */
 public record MachineRegistryEntry(long writtenAtMs, Optional<List<TaskId>> possibleTasks) {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistryEntry.class);
   private static final String WRITTEN_FIELD = "At";
   private static final String POSSIBLE_TASKS_FIELD = "Held";
 
-  /** Such a machine counts as one that was registered this moment. */
+  /** The time of an entry without one: the machine counts as registered just now. */
   private static final long UNKNOWN_TIME_MS = Long.MAX_VALUE / 2;
 
-  /** An entry of a machine that gets tasks: it may hold anything. */
+  /** Returns the entry of a machine that receives tasks, and therefore may hold any task. */
   public static MachineRegistryEntry mayHoldAnything(long writtenAtMs) {
     return new MachineRegistryEntry(writtenAtMs, Optional.empty());
   }
 
-  /** An entry of a cordoned machine, which can hold no other tasks than these. */
+  /** Returns the entry of a cordoned machine, which can hold no tasks other than the given ones. */
   public static MachineRegistryEntry holdsAtMost(long writtenAtMs, List<TaskId> tasks) {
     return new MachineRegistryEntry(writtenAtMs, Optional.of(List.copyOf(tasks)));
   }
 
   /**
-   * Reads a stored value. What cannot be read proves nothing, so that such a machine may hold
-   * anything.
+   * Reads a stored value. If its tasks cannot be read, nothing is known of them, and the machine
+   * may hold any task.
    */
   public static MachineRegistryEntry parse(JsonNode stored) {
     return new MachineRegistryEntry(
@@ -58,14 +58,15 @@
         tasks.add(TaskId.parse(task.asText()));
       } catch (InvalidFieldException e) {
         LOG.error(
-            "Possible tasks of a registered machine are unreadable: reason={}", e.getMessage());
+            "Cannot parse the possible tasks of a machine; it may hold any task: reason={}",
+            e.getMessage());
         return Optional.empty();
       }
     }
     return Optional.of(tasks);
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public ObjectNode toJson() {
     ObjectNode stored = Json.object().put(WRITTEN_FIELD, writtenAtMs);
     possibleTasks.ifPresent(
