--- a/src/main/java/org/saffronshore/state/CancellationLog.java
+++ b/src/main/java/org/saffronshore/state/CancellationLog.java
@@ -5,12 +5,12 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * The cancellations that this process committed or read, the latest last, for as long as a
- * cancellation may take. Controllers send them to the leader, which may be unable to read them from
- * the state service itself.
+ * The cancellations that this process committed or read, in the order in which it learned of them.
+ * They are kept for as long as a cancellation may take. Controllers send them to the leader, which
+ * may be unable to read them from the state service itself.
  */
 final class CancellationLog {
-  /** The most cancellations that are kept. */
+  /** The maximum number of cancellations that are kept. */
   private static final int CAPACITY = 500;
 
   private record Entry(String job, double learnedAt) {}
@@ -19,13 +19,13 @@
   private final double retentionS;
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
 
-  /** No cancellation learned since then has been dropped. */
+  /** All cancellations learned after this time, in seconds on the loop's clock, are kept. */
   private double completeSince;
 
   /**
-   * Starts empty.
+   * Creates an empty log.
    *
-   * @param retentionS for how many seconds a cancellation is kept
+   * @param retentionS the number of seconds for which a cancellation is kept
    */
   CancellationLog(EventLoop loop, double retentionS) {
     this.loop = loop;
@@ -37,13 +37,13 @@
     entries.add(new Entry(job, loop.now()));
   }
 
-  /** The jobs whose cancellations are kept. */
+  /** Returns the jobs whose cancellations are kept. */
   List<String> recent() {
     dropOld();
     return entries.stream().map(Entry::job).toList();
   }
 
-  /** For how many seconds {@link #recent} is complete. */
+  /** Returns the number of past seconds for which {@link #recent} is complete. */
   double completeForS() {
     dropOld();
     return loop.now() - completeSince;
--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -11,29 +11,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What one controller has read of jobs. Only facts that never change are kept: a job's outcome, and
- * the version of an accepted job's record and the jobs it depends on. Whether a job is still open
- * changes, and is never taken from here.
+ * A cache of what one controller has read about jobs. It keeps only facts that never change: the
+ * outcome of a job, and the record version and the dependencies of an accepted job. Whether a job
+ * is still open can change, and must not be concluded from the cache.
  */
 final class JobCache {
-  /** A version that no key has: a condition on it never holds. */
+  /** A version that no key has, so that a condition on it never holds. */
   static final long NO_VERSION = -1;
 
-  /** The most entries of each kind; the oldest are dropped first and read again when needed. */
+  /**
+   * The maximum number of entries of each kind. The oldest entries are dropped first, and read
+   * again when needed.
+   */
   private static final int CAPACITY = 20_000;
 
   /**
    * A job that was open when it was last read.
    *
-   * @param version the version of its record, which is written once and removed when the job ends
+   * @param version the version of the job's record, which is written once and deleted when the job
+   *     ends
    */
   record OpenJob(long version, List<String> dependencies) {}
 
   /**
-   * A set of jobs with everything that they depend on, directly or through others.
+   * A set of jobs with all of their direct and transitive dependencies, as far as these are known.
    *
-   * @param open jobs that have no known outcome
-   * @param unread jobs of which nothing is known
+   * @param open jobs that were open when they were last read, and have no known outcome
+   * @param unread jobs of which neither a record nor an outcome is known
    * @param cancelled whether one of them is known to be cancelled
    */
   record Closure(Set<String> open, List<String> unread, boolean cancelled) {}
@@ -50,28 +54,28 @@
     }
   }
 
-  /** How a job ended, or null when that is not known. */
+  /** Returns the outcome of a job, or null when it is not known. */
   @Nullable JobStatus outcome(String id) {
     return outcomes.get(id);
   }
 
-  /** Keeps how a job ended; false when that was known already. */
+  /** Stores the outcome of a job. Returns false when an outcome was already known. */
   boolean putOutcome(String id, JobStatus outcome) {
     return outcomes.put(id, outcome) == null;
   }
 
-  /** Whether the job was open when it was last read. */
+  /** Returns whether the job was open when it was last read. */
   boolean wasOpen(String id) {
     return openJobs.containsKey(id);
   }
 
-  /** Whether the job was open when it was last read, and depends on others. */
+  /** Returns whether the job was open when it was last read, and depends on other jobs. */
   boolean hasDependencies(String id) {
     OpenJob job = openJobs.get(id);
     return job != null && !job.dependencies().isEmpty();
   }
 
-  /** The version of an open job's record; {@link #NO_VERSION} when it is not known. */
+  /** Returns the version of an open job's record; {@link #NO_VERSION} when it is not known. */
   long version(String id) {
     OpenJob job = openJobs.get(id);
     return job == null ? NO_VERSION : job.version();
@@ -85,12 +89,12 @@
     openJobs.remove(id);
   }
 
-  /** Whether the job is known to have been accepted. */
+  /** Returns whether the job is known to have been accepted. */
   boolean isAccepted(String id) {
     return outcomes.containsKey(id) || openJobs.containsKey(id);
   }
 
-  /** Follows the dependencies of some jobs as far as they are known. */
+  /** Follows the dependencies of the given jobs as far as they are known. */
   Closure closure(Collection<String> jobs) {
     Set<String> open = new LinkedHashSet<>();
     Set<String> unread = new LinkedHashSet<>();
--- a/src/main/java/org/saffronshore/state/JobCanceller.java
+++ b/src/main/java/org/saffronshore/state/JobCanceller.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 import org.saffronshore.http.EventLoop;
 
-/** Cancels jobs for users. */
+/** Cancels jobs on behalf of users. */
 final class JobCanceller {
-  /** How often a transaction is tried that meets another change of the job. */
+  /** The maximum number of transactions per cancellation; a conflict leads to another one. */
   private static final int MAX_TRIES = 3;
 
   private final EventLoop loop;
@@ -16,9 +16,9 @@
   private final BiConsumer<String, JobStatus> onOutcome;
 
   /**
-   * Cancels through a client.
+   * Creates a canceller.
    *
-   * @param onOutcome is called with every cancellation that is committed
+   * @param onOutcome called with every cancellation that is committed
    */
   JobCanceller(
       EventLoop loop,
@@ -33,7 +33,7 @@
     this.onOutcome = onOutcome;
   }
 
-  /** Cancels a job that is open; the callback gets its status after that. */
+  /** Cancels a job that is open; the callback receives the job's status afterwards. */
   void cancel(String id, Consumer<JobStatus> callback) {
     cancel(id, MAX_TRIES, callback);
   }
--- a/src/main/java/org/saffronshore/state/JobLookup.java
+++ b/src/main/java/org/saffronshore/state/JobLookup.java
@@ -7,16 +7,17 @@
 import java.util.function.Consumer;
 
 /**
- * Looks up the status of jobs for users. A job is cancelled if it, or any that it depends on,
- * directly or through others, has that outcome: users learn this as soon as it is so, whether or
- * not the job's own outcome was written. So for an open job all of its dependencies must be open or
- * done, at one moment, which a transaction with conditions alone proves in one request.
+ * Looks up the status of jobs for users. A job is cancelled if the job itself, or any of its direct
+ * or transitive dependencies, has the outcome CANCELLED. Users see this as soon as that outcome is
+ * committed, whether or not the job's own outcome has been written. A job may therefore be reported
+ * as open only if all of its dependencies were open or done at one moment, which a transaction with
+ * conditions and no writes proves in one request.
  */
 final class JobLookup {
-  /** How often the dependencies of a job are followed anew because one of them has ended. */
+  /** The maximum number of rounds of a look-up; a new one begins when a dependency has ended. */
   private static final int MAX_TRIES = 4;
 
-  /** Beyond so many transactions to check open jobs, a listing of all of them costs less. */
+  /** The number of checking transactions above which listing all open jobs costs less. */
   private static final int MAX_CHECKS = 4;
 
   private final JobCache cache;
@@ -42,7 +43,7 @@
     new PendingLookup(id, MAX_TRIES, callback).run();
   }
 
-  /** One look-up, and how many tries are left of it. */
+  /** One round of a look-up, with the number of rounds left, this one included. */
   private final class PendingLookup {
     private final String id;
     private final int triesLeft;
@@ -78,7 +79,7 @@
     private void followDependencies() {
       JobCache.Closure closure = cache.closure(List.of(id));
       if (closure.cancelled()) {
-        // Its own outcome is still to be written, by the leader, which learns of the other one.
+        // The leader writes the job's own outcome once it learns of the cancelled dependency.
         cache.putOutcome(id, JobStatus.CANCELLED);
         callback.accept(JobStatus.CANCELLED);
       } else if (!closure.unread().isEmpty()) {
@@ -90,7 +91,7 @@
       }
     }
 
-    /** Each round reads one level more, so there are as many as the dependencies are deep. */
+    /** Reads one more level of dependencies, so that there are as many reads as levels. */
     private void readUnread(List<String> unread) {
       reader.readAll(
           unread,
@@ -103,7 +104,11 @@
           });
     }
 
-    /** Goes on when it is known which of the jobs are not open any more; empty when it is not. */
+    /**
+     * Continues the look-up when the jobs that are no longer open are known.
+     *
+     * @param ended the ids of these jobs; empty when they could not be determined
+     */
     private void handleEnded(Optional<? extends Collection<String>> ended) {
       if (ended.isEmpty()) {
         callback.accept(JobStatus.UNKNOWN);
--- a/src/main/java/org/saffronshore/state/JobOutcome.java
+++ b/src/main/java/org/saffronshore/state/JobOutcome.java
@@ -4,12 +4,12 @@
 import org.saffronshore.wire.Json;
 
 /**
- * How a job ended: the value of its key under {@link Keys#JOB_OUTCOMES}, which never changes.
+ * The outcome of a job: the value of its key under {@link Keys#JOB_OUTCOMES}, which never changes.
  *
  * @param status DONE or CANCELLED; NOT_FOUND when the job has no outcome, UNKNOWN when none could
  *     be read
- * @param atMs the time of day at which it ended, in milliseconds since the epoch: the times of jobs
- *     that depend on this one count from then; 0 when it was not recorded
+ * @param atMs the time of day at which the job ended, in milliseconds since the epoch; 0 when it
+ *     was not recorded. The times of jobs that depend on this one count from then
  */
 public record JobOutcome(JobStatus status, long atMs) {
   static final JobOutcome NOT_FOUND = new JobOutcome(JobStatus.NOT_FOUND, 0);
@@ -20,7 +20,7 @@
   private static final String DONE = "done";
   private static final String CANCELLED = "aborted";
 
-  /** Reads a stored value; its status is UNKNOWN when it is no outcome. */
+  /** Reads a stored value; the status is UNKNOWN when the value is not an outcome. */
   static JobOutcome parse(JsonNode stored) {
     return new JobOutcome(
         parseStatus(stored.path(STATUS_FIELD)), Json.integer(stored, TIME_FIELD, 0));
@@ -37,7 +37,7 @@
     };
   }
 
-  /** The stored form of an outcome that is DONE or CANCELLED. */
+  /** Returns the stored form of an outcome that is DONE or CANCELLED. */
   public JsonNode toJson() {
     return Json.object()
         .put(STATUS_FIELD, status == JobStatus.DONE ? DONE : CANCELLED)
@@ -45,8 +45,9 @@
   }
 
   /**
-   * Adds the only way in which a job ends: its record is deleted and this outcome is put, if the
-   * record has that version and there is no outcome.
+   * Adds the conditions and writes that end a job: the job's record is deleted and this outcome is
+   * put, provided that the record has the given version and there is no outcome yet. No job ends in
+   * any other way.
    */
   public Transaction addTo(Transaction transaction, String id, long version) {
     return transaction
--- a/src/main/java/org/saffronshore/state/JobReader.java
+++ b/src/main/java/org/saffronshore/state/JobReader.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 
 /**
- * Reads jobs from the state service into the cache. A few jobs are read one by one; of many, the
- * open ones are found in a listing of all open jobs, and the outcomes of the others are read after
- * that.
+ * Reads jobs from the state service into the cache. A few jobs are read one by one. For many jobs,
+ * the open ones are found in a listing of all open jobs, and the outcomes of the others are read
+ * afterwards.
  *
- * <p>A job's record is read before its outcome. A job goes from one to the other in a single
- * transaction, so finding neither in this order proves that it had not been accepted when the first
- * was read.
+ * <p>A job's record is read before its outcome. A single transaction deletes the record and writes
+ * the outcome, so finding neither in this order proves that the job had not been accepted when its
+ * record was read.
  */
 final class JobReader {
   private final StateClient state;
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Reads those of some jobs of which nothing is known. The callback gets NOT_FOUND when any was
-   * never accepted, otherwise UNKNOWN when any could not be read, and OPEN when all were accepted.
+   * Reads those of the given jobs that are not in the cache. The callback receives NOT_FOUND when
+   * any job was never accepted, otherwise UNKNOWN when any job could not be read, and OPEN when all
+   * jobs were accepted.
    */
   void readAll(Collection<String> ids, Consumer<JobStatus> callback) {
     List<String> unread = ids.stream().filter(id -> !cache.isAccepted(id)).toList();
@@ -89,8 +90,9 @@
   }
 
   /**
-   * Lists the ids of the open jobs; empty when they could not be listed. Pages may be of different
-   * moments, but a job that is listed was open when the listing began, or was accepted later.
+   * Lists the ids of the open jobs; the callback receives an empty result when they could not be
+   * listed. Pages may be read at different moments, but every listed job was open when the listing
+   * began, or was accepted later.
    */
   void listOpen(Consumer<Optional<Set<String>>> callback) {
     state.list(
--- a/src/main/java/org/saffronshore/state/JobRecord.java
+++ b/src/main/java/org/saffronshore/state/JobRecord.java
@@ -31,7 +31,7 @@
 
   /**
    * Reads only the ids of the jobs that this one depends on. Readers that follow dependencies need
-   * no more, and a record whose other fields cannot be read still belongs to an open job.
+   * nothing else, and a record whose other fields cannot be read still belongs to an open job.
    */
   static List<String> parseDependencies(JsonNode stored) {
     List<String> dependencies = new ArrayList<>();
@@ -42,7 +42,7 @@
     return List.copyOf(dependencies);
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public ObjectNode toJson() {
     ObjectNode stored = Json.object().put(SUBMITTED_FIELD, submittedMs);
     stored.set(SPEC_FIELD, spec.toJson());
--- a/src/main/java/org/saffronshore/state/JobStatus.java
+++ b/src/main/java/org/saffronshore/state/JobStatus.java
@@ -1,19 +1,19 @@
 package org.saffronshore.state;
 
-/** What a controller knows of a job. */
+/** The status of a job, as a controller knows it. */
 public enum JobStatus {
-  /** The state service did not say. */
+  /** The status could not be read from the state service. */
   UNKNOWN,
 
-  /** It was never accepted. */
+  /** The job was never accepted. */
   NOT_FOUND,
 
-  /** It was accepted and has no outcome. */
+  /** The job was accepted and has no outcome. */
   OPEN,
 
-  /** All of its tasks are finished. */
+  /** All tasks of the job are finished. */
   DONE,
 
-  /** A user cancelled it, or a job that it depends on. */
+  /** A user cancelled the job, or a job that it depends on. */
   CANCELLED
 }
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -9,9 +9,9 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * Jobs as users see them: submissions, look-ups and cancellations, for which every controller uses
- * the state service itself, so that none returns an older status than another one did. Only facts
- * that never change are cached.
+ * Serves users' submissions, look-ups and cancellations of jobs. Every controller reads and writes
+ * the state service directly for these, so that no controller returns an older status than another
+ * one did. Only facts that never change are cached.
  */
 public final class JobStore {
   private final JobCache cache = new JobCache();
@@ -22,7 +22,7 @@
   private final SubmissionQueue submissions;
   private Consumer<String> cancellationListener = id -> {};
 
-  /** Uses the state service within this controller's share of its rates. */
+  /** Creates a store that uses the state service within this controller's share of its rates. */
   public JobStore(EventLoop loop, StateClient state, Settings settings) {
     this.cancellations = new CancellationLog(loop, settings.cancellationDeadlineS());
     this.outcomes = new OutcomeReader(state, this::recordOutcome);
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Accepts a job, once, if all jobs that it depends on were accepted.
+   * Accepts a job exactly once, provided that all jobs that it depends on were accepted.
    *
    * @param submittedMs the time of day of the submission, in milliseconds since the epoch
    */
@@ -47,25 +47,25 @@
     submissions.submit(job, submittedMs, callback);
   }
 
-  /** Looks up the status of a job; CANCELLED also when a job that it depends on is cancelled. */
+  /** Looks up the status of a job, which is also CANCELLED when a job that it depends on is. */
   public void lookUp(String id, Consumer<JobStatus> callback) {
     lookup.lookUp(id, callback);
   }
 
-  /** Cancels a job that is open; the callback gets its status after that. */
+  /** Cancels a job that is open; the callback receives the job's status afterwards. */
   public void cancel(String id, Consumer<JobStatus> callback) {
     canceller.cancel(id, callback);
   }
 
   /**
-   * Reads the outcomes of some jobs: NOT_FOUND for one that has none, UNKNOWN when that could not
-   * be read.
+   * Reads the outcomes of the given jobs: NOT_FOUND for a job that has none, UNKNOWN for one whose
+   * outcome could not be read.
    */
   public void readOutcomes(Collection<String> ids, Consumer<Map<String, JobOutcome>> callback) {
     outcomes.readAll(ids, callback);
   }
 
-  /** Keeps an outcome, DONE or CANCELLED, that was committed or read. */
+  /** Records an outcome, DONE or CANCELLED, that was committed or read. */
   public void recordOutcome(String id, JobStatus outcome) {
     if (cache.putOutcome(id, outcome) && outcome == JobStatus.CANCELLED) {
       cancellations.add(id);
@@ -73,20 +73,23 @@
     }
   }
 
-  /** Sets who is called at once when this process commits a cancellation, or reads of one. */
+  /**
+   * Sets the listener that is called at once when this process first commits or reads a
+   * cancellation.
+   */
   public void onCancelled(Consumer<String> listener) {
     cancellationListener = listener;
   }
 
   /**
-   * The cancellations that this process learned of within the time that one may take. Those that
-   * this process has confirmed to users are among them.
+   * Returns the jobs whose cancellations this process learned of within the time that a
+   * cancellation may take, including those that it has confirmed to users.
    */
   public List<String> recentlyCancelled() {
     return cancellations.recent();
   }
 
-  /** For how many seconds {@link #recentlyCancelled} is complete. */
+  /** Returns the number of past seconds for which {@link #recentlyCancelled} is complete. */
   public double cancellationsCompleteForS() {
     return cancellations.completeForS();
   }
--- a/src/main/java/org/saffronshore/state/OpenJobChecker.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -12,21 +12,21 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Checks whether jobs are still open, with transactions that have conditions and no writes, each
- * for as many jobs as a transaction may have conditions. The first check in a while is sent at
- * once; those that come in quick succession share the next request, since a burst of polls would
+ * Checks whether jobs are still open, with transactions that have conditions and no writes. A
+ * transaction checks as many jobs as it may have conditions. The first check after a pause is sent
+ * at once. Checks in quick succession share the next request, since a burst of polls would
  * otherwise use up this controller's share of the request rate.
  */
 final class OpenJobChecker {
-  /** Checks may take this part of the controller's share of the request rate. */
+  /** The maximum fraction of the controller's share of the request rate for checks. */
   private static final double MAX_RATE_FRACTION = 0.5;
 
-  /** A check of some jobs that waits for the results of all of them. */
+  /** A check of several jobs; it completes when all have a result, or one cannot be checked. */
   private static final class Check {
     private final Consumer<Optional<Set<String>>> callback;
     private final Set<String> ended = new HashSet<>();
 
-    /** How many jobs have no result yet; 0 once the check is over. */
+    /** The number of jobs without a result; 0 once the check is complete. */
     private int remaining;
 
     Check(int jobs, Consumer<Optional<Set<String>>> callback) {
@@ -60,10 +60,10 @@
   private final JobCache cache;
   private final int maxConditions;
 
-  /** Jobs to check, each with the checks that wait for it. */
+  /** The jobs that are not in a request yet, each with the checks that wait for its result. */
   private final Map<String, List<Check>> pending = new LinkedHashMap<>();
 
-  /** Whether a request is under way or scheduled. */
+  /** Whether a request is in flight or scheduled. */
   private boolean busy;
 
   private double nextRequestAt = Double.NEGATIVE_INFINITY;
@@ -76,10 +76,10 @@
   }
 
   /**
-   * Finds the jobs that are not open any more.
+   * Finds the jobs that are no longer open.
    *
-   * @param callback gets their ids, none when all jobs are open; empty when the state service did
-   *     not say
+   * @param callback receives the set of their ids, which has no elements when all jobs are open; an
+   *     empty Optional when the jobs could not be checked
    */
   void findEnded(Set<String> jobs, Consumer<Optional<Set<String>>> callback) {
     Check check = new Check(jobs.size(), callback);
@@ -107,7 +107,8 @@
   private void send() {
     Map<String, List<Check>> sent = takePending();
     Transaction transaction = new Transaction();
-    // A job that was dropped from the cache meanwhile counts as ended: its outcome is read then.
+    // A job that has been dropped from the cache meanwhile has the version NO_VERSION here,
+    // and so counts as ended: the caller reads its outcome.
     sent.keySet().forEach(job -> transaction.expectVersion(Keys.openJob(job), cache.version(job)));
     nextRequestAt = loop.now() + 1 / (MAX_RATE_FRACTION * state.requestsPerS());
     state.commit(
@@ -142,8 +143,8 @@
           } else if (ended.contains(job)) {
             checks.forEach(check -> check.add(job, false));
           } else {
-            // The protocol does not say that a conflict names every key: the others are checked
-            // again, and at once.
+            // The protocol does not promise that a conflict names every key whose condition failed:
+            // the other jobs are checked again, without a delay.
             checksOf(job).addAll(checks);
             nextRequestAt = Double.NEGATIVE_INFINITY;
           }
--- a/src/main/java/org/saffronshore/state/OutcomeReader.java
+++ b/src/main/java/org/saffronshore/state/OutcomeReader.java
@@ -10,28 +10,28 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the outcomes of jobs. Those of a few jobs are read one by one, and those of many from
- * listings of the outcomes around them. So hundreds of jobs cost a few requests and not hundreds,
- * which would be more than a controller's share of the request rate.
+ * Reads the outcomes of jobs. The outcomes of a few jobs are read one by one, and those of many
+ * jobs from listings of the outcomes around them. Reading hundreds of jobs thus takes a few
+ * requests; one request per job would exceed a controller's share of the request rate.
  */
 final class OutcomeReader {
-  /** Up to so many jobs are read one by one. */
+  /** The maximum number of jobs that are read one by one. */
   static final int MAX_SINGLE_READS = 8;
 
   private final StateClient state;
   private final BiConsumer<String, JobStatus> onOutcome;
 
   /**
-   * Reads through a client.
+   * Creates a reader.
    *
-   * @param onOutcome is called with every outcome that is read
+   * @param onOutcome called with every outcome that is read
    */
   OutcomeReader(StateClient state, BiConsumer<String, JobStatus> onOutcome) {
     this.state = state;
     this.onOutcome = onOutcome;
   }
 
-  /** Reads a job's outcome; NOT_FOUND when it has none, UNKNOWN when that could not be read. */
+  /** Reads a job's outcome: NOT_FOUND when the job has none, UNKNOWN when it could not be read. */
   void read(String id, Consumer<JobOutcome> callback) {
     state.get(
         Keys.jobOutcome(id),
@@ -53,7 +53,7 @@
     return outcome;
   }
 
-  /** Reads the outcomes of some jobs, each as {@link #read} does. */
+  /** Reads the outcomes of the given jobs, each as {@link #read} does. */
   void readAll(Collection<String> ids, Consumer<Map<String, JobOutcome>> callback) {
     if (ids.isEmpty()) {
       callback.accept(Map.of());
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Lists the outcomes from the first remaining job on, page by page until none remains. */
+  /** Lists outcomes page by page, each from the first remaining job on, until no job remains. */
   private void listRemaining(
       NavigableSet<String> remaining,
       Map<String, JobOutcome> outcomes,
@@ -75,7 +75,7 @@
       return;
     }
     String first = remaining.first();
-    // A prefix of a key comes before it, and a listing begins after the key that it is given.
+    // A listing begins after the key that it is given, and a prefix of a key sorts before the key.
     String before = Keys.jobOutcome(first.substring(0, first.length() - 1));
     state.listPage(
         Keys.JOB_OUTCOMES,
@@ -92,7 +92,7 @@
         });
   }
 
-  /** A page settles all jobs up to its last key: those that are not in it have no outcome. */
+  /** Records the outcomes in a page. Other jobs up to its last key are known to have none. */
   private void recordPage(
       ListingPage page, NavigableSet<String> remaining, Map<String, JobOutcome> outcomes) {
     for (StoredEntry entry : page.entries()) {
--- a/src/main/java/org/saffronshore/state/ResultCollector.java
+++ b/src/main/java/org/saffronshore/state/ResultCollector.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Collects the results for some jobs, and hands them on once all are there. */
+/** Collects one result per job, and passes all of them to a callback once they are complete. */
 final class ResultCollector<T> {
   private final int expected;
   private final Map<String, T> results = new HashMap<>();
   private final Consumer<Map<String, T>> callback;
 
   /**
-   * Starts without any result.
+   * Creates a collector without results.
    *
    * @param expected the number of jobs
    */
--- a/src/main/java/org/saffronshore/state/Submission.java
+++ b/src/main/java/org/saffronshore/state/Submission.java
@@ -7,9 +7,11 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Json;
 
-/** A job that is to be accepted, with what the transaction that accepts it has to contain. */
+/**
+ * A job to be accepted, with the conditions and the write that a transaction needs to accept it.
+ */
 final class Submission {
-  /** A job's own conditions: it is neither open nor has an outcome. */
+  /** The number of conditions on the job itself: it is not open, and has no outcome. */
   private static final int OWN_CONDITIONS = 2;
 
   private final JobSpec job;
@@ -35,7 +37,7 @@
     return job.dependencies();
   }
 
-  /** The length of the job's record, in bytes. */
+  /** Returns the length of the job's record, in bytes. */
   int sizeBytes() {
     return sizeBytes;
   }
@@ -45,8 +47,8 @@
   }
 
   /**
-   * Whether the submission must not share a transaction: the state service refused one with this
-   * submission and others as malformed.
+   * Returns whether the submission must not share a transaction, because the state service rejected
+   * a transaction with this and other submissions as malformed.
    */
   boolean needsOwnTransaction() {
     return needsOwnTransaction;
@@ -57,9 +59,9 @@
   }
 
   /**
-   * Chooses the conditions on dependencies. That these were accepted never changes and needs no
-   * condition. But the transaction may prove that none of them is cancelled, where the state
-   * service takes so many conditions, which saves a look-up afterwards.
+   * Chooses the conditions on dependencies. An accepted dependency stays accepted, which needs no
+   * condition. If the state service allows enough conditions in a transaction, the transaction also
+   * proves that no dependency is cancelled, which saves a look-up afterwards.
    */
   void chooseConditions(JobCache cache, int maxConditions) {
     JobCache.Closure closure = cache.closure(job.dependencies());
@@ -70,7 +72,7 @@
     openDependencies = verifiesDependencies ? closure.open() : Set.of();
   }
 
-  /** The open jobs of which the transaction proves that they are still open. */
+  /** Returns the direct and transitive dependencies that the transaction proves to be open. */
   Set<String> openDependencies() {
     return openDependencies;
   }
@@ -90,7 +92,7 @@
     transaction.put(Keys.openJob(job.id()), stored);
   }
 
-  /** The result when the transaction was committed. */
+  /** Returns the result of the submission when its transaction is committed. */
   SubmissionResult acceptedResult() {
     return verifiesDependencies ? SubmissionResult.ACCEPTED : SubmissionResult.ACCEPTED_UNVERIFIED;
   }
--- a/src/main/java/org/saffronshore/state/SubmissionBatch.java
+++ b/src/main/java/org/saffronshore/state/SubmissionBatch.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Submissions that share a transaction, within the limits of what the state service takes. */
+/** Submissions that share a transaction, within the state service's limits on transactions. */
 final class SubmissionBatch {
   /**
-   * The most bytes of job records. A transaction may be 64 KiB long; this leaves room for its
-   * conditions.
+   * The maximum total length of the job records, in bytes. A transaction may be 64 KiB long; this
+   * leaves room for its conditions.
    */
   private static final int MAX_BYTES = 40 * 1024;
 
@@ -31,7 +31,7 @@
         || submissions.stream().anyMatch(Submission::needsOwnTransaction);
   }
 
-  /** Whether a submission may be added; the first one always may. */
+  /** Returns whether a submission may be added; the first one always may. */
   boolean hasRoomFor(Submission submission) {
     return submissions.isEmpty()
         || (!ids.contains(submission.id())
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -11,11 +11,11 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * Accepts jobs, each once. Submissions that arrive while a transaction is under way share the next
- * one.
+ * Accepts jobs, each exactly once. Submissions that arrive while a transaction is in flight share
+ * the next one.
  */
 final class SubmissionQueue {
-  /** How long to wait when the budget of writes is spent, in seconds. */
+  /** The delay before the next try when the write budget is used up, in seconds. */
   private static final double WRITE_BUDGET_RETRY_S = 0.05;
 
   private static final int MIN_CAPACITY = 4;
@@ -29,7 +29,7 @@
   private final int capacity;
   private final ArrayDeque<Submission> waiting = new ArrayDeque<>();
 
-  /** Whether a transaction is under way, or waits for the budget of writes. */
+  /** Whether a transaction is in flight, or waits for the write budget. */
   private boolean committing;
 
   SubmissionQueue(
@@ -40,14 +40,14 @@
     this.reader = reader;
     this.maxWrites = Math.max(1, settings.maxTransactionWrites());
     this.maxConditions = Transaction.maxConditions(settings);
-    // About what the budget of writes takes in a second.
+    // About as many submissions as the write budget allows in one second.
     this.capacity =
         (int) Math.max(MIN_CAPACITY, settings.stateWritesPerS() / settings.controllerCount());
   }
 
   /**
-   * Accepts a job if all jobs that it depends on were ever accepted, which is read first as far as
-   * it is not known.
+   * Accepts a job if all jobs that it depends on were accepted at any time. Dependencies that are
+   * not in the cache are read first.
    */
   void submit(JobSpec job, long submittedMs, Consumer<SubmissionResult> callback) {
     submit(new Submission(job, submittedMs, callback));
@@ -78,7 +78,7 @@
     committing = true;
     int maxSubmissions = Math.min(maxWrites, state.availableWrites());
     if (maxSubmissions < 1) {
-      // The queue is short: all that waits is written within about a second.
+      // The queue is short: all waiting submissions are written within about a second.
       loop.schedule(WRITE_BUDGET_RETRY_S, this::commitNext);
       return;
     }
@@ -144,7 +144,10 @@
     submission.respond(submission.acceptedResult());
   }
 
-  /** One of the submissions is at fault: each is tried in a transaction of its own. */
+  /**
+   * Returns the submissions of a malformed transaction, to be tried again, each in a transaction of
+   * its own, since any of them may be the cause. A submission that was alone is not tried again.
+   */
   private static List<Submission> handleMalformed(List<Submission> batch) {
     if (batch.size() == 1) {
       batch.get(0).respond(SubmissionResult.UNKNOWN);
@@ -154,15 +157,18 @@
     return batch;
   }
 
-  /** The submissions to try again are those that no conflict is about, if one is known at all. */
+  /**
+   * Returns the submissions to be tried again: those that the conflict does not concern. When it
+   * concerns none of them, its cause is unknown, and none is tried again.
+   */
   private List<Submission> handleConflict(List<Submission> batch, Set<String> conflicting) {
     List<Submission> unaffected = new ArrayList<>();
     for (Submission submission : batch) {
       if (conflicting.contains(submission.id())) {
         submission.respond(SubmissionResult.DUPLICATE);
       } else if (!Collections.disjoint(submission.openDependencies(), conflicting)) {
-        // A dependency has ended since it was read: its outcome is read, and the job submitted
-        // again.
+        // A dependency has ended since it was read: the submission starts over, which reads the
+        // dependency's outcome.
         submission.openDependencies().stream()
             .filter(conflicting::contains)
             .forEach(cache::dropOpenJob);
--- a/src/main/java/org/saffronshore/state/SubmissionResult.java
+++ b/src/main/java/org/saffronshore/state/SubmissionResult.java
@@ -1,25 +1,25 @@
 package org.saffronshore.state;
 
-/** What became of a submission. */
+/** The result of a submission. */
 public enum SubmissionResult {
   /** The job was accepted, and is open. */
   ACCEPTED,
 
   /**
-   * The job was accepted, but one that it depends on may be cancelled: its status has to be looked
-   * up.
+   * The job was accepted, but a job that it depends on may be cancelled: the caller has to look up
+   * the job's status.
    */
   ACCEPTED_UNVERIFIED,
 
-  /** A job of that id was accepted before. */
+  /** A job with the same id was accepted before. */
   DUPLICATE,
 
-  /** The state service did not say: the job may have been accepted, or may yet be. */
+  /** The result could not be determined: the job may have been accepted, or may be later. */
   UNKNOWN,
 
-  /** The submission was refused for the rate of writes. */
+  /** The submission was rejected because the queue was full or a rate limit was reached. */
   OVERLOADED,
 
-  /** The job depends on one that was never accepted. */
+  /** The job depends on a job that was never accepted. */
   UNKNOWN_DEPENDENCY
 }
