--- a/src/main/java/org/saffronshore/state/CommitResult.java
+++ b/src/main/java/org/saffronshore/state/CommitResult.java
@@ -11,24 +11,25 @@
  * The result of a transaction.
  *
  * @param revision the version of every key that it changed; 0 unless it was committed
- * @param conflictingKeys keys whose conditions did not hold, as far as the state service names them
+ * @param conflictingKeys the keys whose conditions did not hold, as far as the state service names
+ *     them
  */
 public record CommitResult(Outcome outcome, long revision, Set<String> conflictingKeys) {
 
-  /** Whether the transaction was committed. */
+  /** The outcome of a transaction. */
   public enum Outcome {
     COMMITTED,
 
     /** A condition did not hold. */
     CONFLICT,
 
-    /** The state service will never commit it as it is. */
+    /** The state service rejected the transaction as invalid; sending it again cannot succeed. */
     MALFORMED,
 
-    /** It was not sent, or was refused, for the rate. */
+    /** The transaction was not sent, or was rejected, because of a rate limit. */
     OVERLOADED,
 
-    /** It may have been committed, or may yet be. */
+    /** The transaction may have been committed, or may still be committed later. */
     UNKNOWN
   }
 
@@ -60,7 +61,7 @@
     return outcome == Outcome.CONFLICT;
   }
 
-  /** The jobs that the conflicting keys belong to. */
+  /** Returns the ids of the jobs that the conflicting keys belong to. */
   Set<String> conflictingJobs() {
     return conflictingKeys.stream().map(Keys::idOf).collect(Collectors.toSet());
   }
--- a/src/main/java/org/saffronshore/state/Keys.java
+++ b/src/main/java/org/saffronshore/state/Keys.java
@@ -1,9 +1,10 @@
 package org.saffronshore.state;
 
 /**
- * The keys of the state service. Each key belongs to one of the constants here, which says who
- * writes it, who reads it, and which form its values have. What the leader alone writes has a
- * condition on {@link #LEADER} in the same transaction, so that no former leader can change it.
+ * The keys of the state service. Each key belongs to one of the constants in this class, whose
+ * comment states who writes the key, who reads it, and the form of its values. Every write that is
+ * reserved to the leader has a condition on {@link #LEADER} in the same transaction, so that no
+ * former leader can make it.
  */
 public final class Keys {
   /**
@@ -14,9 +15,9 @@
   public static final String OPEN_JOBS = "j/";
 
   /**
-   * How jobs ended, by job id; never changed or deleted. The leader writes these of completed jobs
-   * and of jobs that are cancelled with a dependency, every controller when a user cancels a job;
-   * every controller reads them. Form: {@link JobOutcome}.
+   * Outcomes of jobs, by job id; never changed or deleted. The leader writes those of completed
+   * jobs and of jobs that are cancelled along with a dependency, and every controller writes those
+   * of jobs that users cancel; every controller reads them. Form: {@link JobOutcome}.
    */
   public static final String JOB_OUTCOMES = "f/";
 
@@ -28,9 +29,10 @@
   public static final String FINISHED_TASKS = "p/";
 
   /**
-   * Pages like those of {@link #FINISHED_TASKS}, of jobs so large that chunks of the usual length
-   * do not fit into a value; earlier versions do not read these. Form: as there, but an entry's
-   * value is an object with the bit set, {@code Bits}, and the length of a chunk, {@code Piece}.
+   * Pages like those of {@link #FINISHED_TASKS}, for jobs so large that chunks of the standard
+   * length do not fit into a value; earlier versions do not read these. Form: as for {@link
+   * #FINISHED_TASKS}, but an entry's value is an object with the bit set, {@code Bits}, and the
+   * length of a chunk, {@code Piece}.
    */
   public static final String FINISHED_TASKS_SHORT_CHUNKS = "q/";
 
@@ -49,21 +51,21 @@
   public static final String MACHINE_REGISTRY = "r/";
 
   /**
-   * The leader, attached to its store lease: the key exists as long as a controller leads. A
-   * candidate writes it when it is elected; every controller reads and watches it. Form: {@link
-   * LeaderRecord}.
+   * The leader. The key is attached to the leader's lease in the state service, so that it exists
+   * as long as a controller leads. A candidate writes it when it is elected; every controller reads
+   * and watches it. Form: {@link LeaderRecord}.
    */
   public static final String LEADER = "l/leader";
 
   /**
-   * The last term and its leader, which outlives the lease. Written together with {@link #LEADER};
-   * candidates read it. Form: {@link LeaderRecord}.
+   * The last term and its leader. Unlike {@link #LEADER}, the key outlives the leader's lease.
+   * Candidates write it together with {@link #LEADER}, and read it. Form: {@link LeaderRecord}.
    */
   public static final String TERM = "t/term";
 
   /**
    * The request of a candidate that asks for votes through the state service, when the controllers
-   * do not reach one another. Candidates write and read it. Form: {@link VoteRequest}.
+   * cannot reach one another. Candidates write and read it. Form: {@link VoteRequest}.
    */
   public static final String VOTE_REQUEST = "e/call";
 
@@ -81,8 +83,8 @@
   public static final String MACHINE_TYPES = "m/types";
 
   /**
-   * What operators set at run time. Every controller writes and reads it for operators; the leader
-   * reads it. Form: {@code admin.OperatorSettings}.
+   * Settings that operators change at run time. Every controller writes and reads them for
+   * operators, and the leader reads them. Form: {@code admin.OperatorSettings}.
    */
   public static final String OPERATOR_SETTINGS = "o/settings";
 
@@ -100,7 +102,10 @@
     return VOTES + controller;
   }
 
-  /** The job or machine that a key, or the name of a page's entry after its prefix, is about. */
+  /**
+   * Returns the id of the job or machine that a key refers to. The name of an entry of a page,
+   * preceded by the prefix of the page, is accepted as a key.
+   */
   public static String idOf(String key) {
     int start = key.indexOf('/') + 1;
     int end = key.indexOf('/', start);
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -6,19 +6,19 @@
 import org.saffronshore.wire.Json;
 
 /**
- * Who leads, or led last: the value of {@link Keys#LEADER} and of {@link Keys#TERM}.
+ * The current leader, or the last one: the value of {@link Keys#LEADER} and of {@link Keys#TERM}.
  *
  * @param controller the controller's name; null when it is not known
  * @param incarnation distinguishes the process from earlier ones of the same controller; null when
  *     it is not known
- * @param term the number of the term; -1 when it is not known
+ * @param term the term number; -1 when it is not known
  */
 public record LeaderRecord(@Nullable String controller, @Nullable String incarnation, long term) {
   private static final String CONTROLLER_FIELD = "Node";
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
 
-  /** Reads a stored value; what is missing in it is not known. */
+  /** Reads a stored value; a missing field is not known. */
   public static LeaderRecord parse(JsonNode stored) {
     return new LeaderRecord(
         Json.text(stored, CONTROLLER_FIELD),
@@ -26,7 +26,7 @@
         Json.integer(stored, TERM_FIELD, -1));
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public ObjectNode toJson() {
     return Json.object()
         .put(CONTROLLER_FIELD, controller)
--- a/src/main/java/org/saffronshore/state/LeaseGrant.java
+++ b/src/main/java/org/saffronshore/state/LeaseGrant.java
@@ -5,17 +5,21 @@
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
-/** The messages by which a lease is created. */
+/** The request and the response by which a lease is created. */
 final class LeaseGrant {
   private LeaseGrant() {}
 
-  /** The request for a lease that lasts so many seconds without a renewal. */
+  /**
+   * Returns the request for a lease.
+   *
+   * @param durationS the number of seconds that the lease lasts without a renewal
+   */
   static byte[] request(double durationS) {
     return Json.bytes(
         Json.object().put(ProtocolFields.LEASE_DURATION_MS, Math.round(durationS * 1000)));
   }
 
-  /** The id of the lease; empty when none is known to have been created. */
+  /** Returns the id of the lease; empty when no lease is known to have been created. */
   static OptionalLong parse(Response response) {
     JsonNode lease = response.ok() ? response.json() : null;
     return lease == null
--- a/src/main/java/org/saffronshore/state/LeaseRenewal.java
+++ b/src/main/java/org/saffronshore/state/LeaseRenewal.java
@@ -2,14 +2,14 @@
 
 import org.saffronshore.http.Response;
 
-/** What became of the renewal of a lease. */
+/** The result of a request to renew a lease. */
 public enum LeaseRenewal {
   RENEWED,
 
-  /** The state service does not know the lease any more. */
+  /** The state service no longer knows the lease. */
   EXPIRED,
 
-  /** The state service did not say: the lease may have been renewed or not. */
+  /** The request was not sent or got no conclusive response: the lease may have been renewed. */
   UNKNOWN;
 
   static LeaseRenewal parse(Response response) {
--- a/src/main/java/org/saffronshore/state/Listing.java
+++ b/src/main/java/org/saffronshore/state/Listing.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * All keys under a prefix, in their order.
+ * All entries under a prefix, in key order.
  *
  * @param revision the revision from which a watch on the prefix continues
  */
--- a/src/main/java/org/saffronshore/state/ListingPage.java
+++ b/src/main/java/org/saffronshore/state/ListingPage.java
@@ -8,13 +8,13 @@
 import org.saffronshore.wire.Json;
 
 /**
- * A response to a listing: some of the keys under a prefix, in their order, at one revision.
+ * One page of a listing: some of the entries under a prefix, in key order, at one revision.
  *
- * @param last whether no keys come after these
+ * @param last whether no further entries follow
  */
 record ListingPage(List<StoredEntry> entries, long revision, boolean last) {
 
-  /** Reads a response; empty when it is not a listing. */
+  /** Reads a response; the result is empty when the response is not a listing. */
   static Optional<ListingPage> parse(Response response) {
     JsonNode body = response.ok() ? response.json() : null;
     if (body == null || !body.path(ProtocolFields.ITEMS).isArray()) {
@@ -33,7 +33,7 @@
         new ListingPage(entries, Json.integer(body, ProtocolFields.REVISION, 0), last));
   }
 
-  /** The last key of a page that is not empty. */
+  /** Returns the last key of the page, which must not be empty. */
   String lastKey() {
     return entries.get(entries.size() - 1).key();
   }
--- a/src/main/java/org/saffronshore/state/RateLimiter.java
+++ b/src/main/java/org/saffronshore/state/RateLimiter.java
@@ -3,11 +3,11 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * A token bucket: this controller's share of a rate that all controllers have in common. A reserve
- * of the burst is kept for vital requests, such as renewals of the leader's lease.
+ * A token bucket for this controller's share of a rate that all controllers share. A fraction of
+ * the burst is reserved for vital requests, such as renewals of the leader's lease.
  */
 public final class RateLimiter {
-  /** The share of the burst that only vital requests may use. */
+  /** The fraction of the burst that only vital requests may use. */
   private static final double RESERVED_FRACTION = 0.2;
 
   private final EventLoop loop;
@@ -17,10 +17,10 @@
   private double refilledAt;
 
   /**
-   * Starts with a full bucket.
+   * Creates a limiter with a full bucket.
    *
-   * @param perSecond the rate at which the bucket fills
-   * @param burstS how many seconds' worth of the rate the bucket holds
+   * @param perSecond the rate at which the bucket fills, in tokens per second
+   * @param burstS the capacity of the bucket, as the number of seconds in which it fills
    */
   public RateLimiter(EventLoop loop, double perSecond, double burstS) {
     this.loop = loop;
@@ -40,24 +40,24 @@
     refilledAt = now;
   }
 
-  /** Changes the rate; tokens that are in the bucket stay. */
+  /** Changes the rate; the tokens in the bucket are kept. */
   public void setRate(double newPerSecond) {
     refill();
     perSecond = newPerSecond;
   }
 
-  /** The rate, per second. */
+  /** Returns the rate, in tokens per second. */
   public double ratePerSecond() {
     return perSecond;
   }
 
-  /** How many tokens normal requests may take now; negative when only the reserve is left. */
+  /** Returns the tokens left for normal requests; negative when the reserve is partly used. */
   public double available() {
     refill();
     return tokens - RESERVED_FRACTION * burst();
   }
 
-  /** Takes tokens for a request; false, and none are taken, when there are too few. */
+  /** Takes tokens for a request. Returns false, and takes none, when there are too few. */
   public boolean tryAcquire(double amount, RequestPriority priority) {
     refill();
     double reserve =
--- a/src/main/java/org/saffronshore/state/RequestBudget.java
+++ b/src/main/java/org/saffronshore/state/RequestBudget.java
@@ -4,25 +4,26 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * This controller's share of the state service's rates of requests and of writes. The leader has a
- * part of each rate to itself, since it writes for the whole cluster; the rest is shared equally,
- * and the leader takes part in that too.
+ * This controller's share of the state service's request and write rates. A fraction of each rate
+ * is reserved for the leader, since it writes for the whole cluster. The rest is shared equally
+ * among all controllers, including the leader.
  *
- * <p>The settings may announce lower limits that will hold at some later time. Each controller
- * finds out by itself that they hold: when the service refuses a request for its rate, the
- * controller keeps to them for some leases, and then tries the higher limits again.
+ * <p>The settings may announce lower limits that take effect at some later time. Each controller
+ * detects by itself that they are in effect: when the service rejects a request because of its
+ * rate, the controller keeps to the lower limits for several worker leases, and then tries the
+ * higher limits again.
  */
 final class RequestBudget {
-  /** The leader's own part of all requests. */
+  /** The fraction of the request rate that is reserved for the leader. */
   private static final double LEADER_REQUEST_FRACTION = 0.15;
 
-  /** The leader's own part of all writes. */
+  /** The fraction of the write rate that is reserved for the leader. */
   private static final double LEADER_WRITE_FRACTION = 0.3;
 
   private static final double REQUEST_BURST_S = 1;
   private static final double WRITE_BURST_S = 1.5;
 
-  /** For how many worker leases the next limits are kept to after a refusal for the rate. */
+  /** How long the next limits apply after a rejection because of the rate, in worker leases. */
   private static final double NEXT_LIMITS_DURATION_LEASES = 4;
 
   private final EventLoop loop;
@@ -47,7 +48,7 @@
     return rate * ((1 - leaderPart) / settings.controllerCount() + (leading ? leaderPart : 0));
   }
 
-  /** Whether this controller leads from now on. */
+  /** Sets whether this controller leads. */
   void setLeading(boolean nowLeading) {
     leading = nowLeading;
     updateRates();
@@ -69,7 +70,7 @@
             LEADER_WRITE_FRACTION));
   }
 
-  /** The service refused a request for its rate: its next limits may hold by now. */
+  /** Handles a rejection of a request because of its rate: the next limits may be in effect. */
   void onRateLimited() {
     if (settings.nextStateRequestsPerS() < settings.stateRequestsPerS()
         || settings.nextStateWritesPerS() < settings.stateWritesPerS()) {
@@ -88,12 +89,12 @@
     return writes.tryAcquire(count, priority);
   }
 
-  /** How many requests per second this controller may make. */
+  /** Returns the number of requests per second that this controller may send. */
   double requestsPerS() {
     return requests.ratePerSecond();
   }
 
-  /** How many writes normal requests may make now. */
+  /** Returns the number of writes that normal requests may make now. */
   int availableWrites() {
     return (int) writes.available();
   }
--- a/src/main/java/org/saffronshore/state/StateClient.java
+++ b/src/main/java/org/saffronshore/state/StateClient.java
@@ -13,49 +13,50 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The operations of the state service, as one controller uses them: within its share of the
- * service's rates, and with a time limit on every request. Every callback is called once, on the
- * event loop; a failure is part of the result that it gets.
+ * A client of the state service. It keeps to one controller's share of the service's rates, and
+ * every request has a time limit. Every callback is called once, on the event loop; a failure is
+ * part of the result that the callback receives.
  */
 public final class StateClient {
   /**
    * The time limit of a request, in seconds. Users wait two seconds for a response; this leaves a
-   * controller time to send one without a result.
+   * controller time to respond to them without a result.
    */
   public static final double TIMEOUT_S = 1.5;
 
-  /** The most keys in one response to a listing. */
+  /** The maximum number of keys in one response to a listing. */
   private static final int PAGE_SIZE = 500;
 
   private final EventLoop loop;
   private final RequestBudget budget;
   private final StateTransport transport;
 
-  /** Uses the service within this controller's share of its rates. */
+  /** Creates a client that uses the service within this controller's share of its rates. */
   public StateClient(EventLoop loop, Client client, Settings settings) {
     this.loop = loop;
     this.budget = new RequestBudget(loop, settings);
     this.transport = new StateTransport(loop, client, settings, budget);
   }
 
-  /** Whether this controller leads from now on: the leader's share of the rates is larger. */
+  /** Sets whether this controller leads: the leader has a larger share of the rates. */
   public void setLeading(boolean leading) {
     budget.setLeading(leading);
   }
 
-  /** How many requests per second this controller may make. */
+  /** Returns the number of requests per second that this controller may send. */
   public double requestsPerS() {
     return budget.requestsPerS();
   }
 
-  /** How many writes normal requests may make now. */
+  /** Returns the number of writes that normal requests may make now. */
   public int availableWrites() {
     return budget.availableWrites();
   }
 
   /**
-   * When the service last responded to this controller with anything but a refusal, in seconds on
-   * the loop's clock; negative infinity when it never did.
+   * Returns when the service last responded to this controller with a status below 429, which
+   * excludes rate limit rejections and server errors, in seconds on the loop's clock; negative
+   * infinity when it never did.
    */
   public double lastResponseAt() {
     return transport.lastResponseAt();
@@ -92,8 +93,8 @@
   /**
    * Creates a lease.
    *
-   * @param durationS how many seconds the lease lasts without a renewal
-   * @param callback gets the lease's id; empty when none is known to have been created
+   * @param durationS the number of seconds that the lease lasts without a renewal
+   * @param callback receives the lease's id; empty when no lease is known to have been created
    */
   public void grantLease(double durationS, Consumer<OptionalLong> callback) {
     transport.send(
@@ -116,7 +117,7 @@
         response -> callback.accept(LeaseRenewal.parse(response)));
   }
 
-  /** Ends a lease at once; the callback runs after the response, whatever it was. */
+  /** Ends a lease at once. The callback runs after the response, whatever its status. */
   public void revokeLease(long leaseId, Runnable callback) {
     transport.send(
         "DELETE",
@@ -130,7 +131,7 @@
   /**
    * Reads every key under a prefix.
    *
-   * @param callback gets the keys; empty when any page of them could not be read
+   * @param callback receives the entries; empty when any page of them could not be read
    */
   public void list(String prefix, RequestPriority priority, Consumer<Optional<Listing>> callback) {
     listRemainingPages(prefix, priority, Optional.empty(), callback);
@@ -139,7 +140,7 @@
   /**
    * Reads all keys under several prefixes, one after the other, with vital requests.
    *
-   * @param callback gets the keys by prefix; empty when any of them could not be read
+   * @param callback receives the listings by prefix; empty when any of them could not be read
    */
   public void listAll(List<String> prefixes, Consumer<Optional<Map<String, Listing>>> callback) {
     listAll(prefixes, new HashMap<>(), callback);
@@ -169,7 +170,7 @@
 
   /**
    * Reads the pages that follow those read so far. Pages may be of different revisions: a watch
-   * from that of the first one receives all changes that the others may lack.
+   * from the revision of the first page receives all changes that later pages may lack.
    */
   private void listRemainingPages(
       String prefix,
@@ -201,10 +202,10 @@
   }
 
   /**
-   * Reads the keys under a prefix that come after a key, as far as one response holds them.
+   * Reads the entries under a prefix that come after a key, up to the limit of one response.
    *
    * @param after the key; empty to read from the first one
-   * @param callback gets the page; empty when it could not be read
+   * @param callback receives the page; empty when it could not be read
    */
   void listPage(
       String prefix,
@@ -226,7 +227,8 @@
    * Waits for changes of keys under a prefix.
    *
    * @param afterRevision only later changes are received
-   * @param waitS how many seconds the service waits for a change before it responds without one
+   * @param waitS the number of seconds that the service waits for a change before it responds
+   *     without one
    */
   public void watch(
       String prefix, long afterRevision, double waitS, Consumer<WatchResult> callback) {
--- a/src/main/java/org/saffronshore/state/StateServiceMonitor.java
+++ b/src/main/java/org/saffronshore/state/StateServiceMonitor.java
@@ -3,8 +3,9 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Whether the state service responds to this controller. Any request of this process shows it; when
- * there was no response for a while, a small key is read to find out.
+ * Monitors whether the state service responds to this controller. The response to any request of
+ * this process counts. When there has been none for a while, the monitor reads a small key as a
+ * probe.
  */
 public final class StateServiceMonitor {
   private final EventLoop loop;
@@ -13,7 +14,10 @@
   private final double probeIntervalS;
 
   /**
-   * @param maxSilenceS without a response for so long the state service counts as unavailable
+   * Creates a monitor.
+   *
+   * @param maxSilenceS the number of seconds without a response after which the state service
+   *     counts as unavailable
    */
   public StateServiceMonitor(EventLoop loop, StateClient state, double maxSilenceS) {
     this.loop = loop;
@@ -22,29 +26,29 @@
     this.probeIntervalS = maxSilenceS / 3;
   }
 
-  /** Begins to probe. */
+  /** Starts to probe. */
   public void start() {
     loop.scheduleWithFixedDelay(probeIntervalS, this::probe);
   }
 
-  /** Whether the state service responded to this controller a moment ago. */
+  /** Returns whether the last response of the state service is recent enough. */
   public boolean isAvailable() {
     return lastResponseAgeS() < maxSilenceS;
   }
 
-  /** When the state service last responded, on the clock of the event loop. */
+  /** Returns when the state service last responded, in seconds on the event loop's clock. */
   public double lastResponseAt() {
     return state.lastResponseAt();
   }
 
-  /** How many seconds ago the state service last responded. */
+  /** Returns the number of seconds since the state service last responded. */
   public double lastResponseAgeS() {
     return loop.now() - state.lastResponseAt();
   }
 
   private void probe() {
     if (lastResponseAgeS() > probeIntervalS) {
-      // Only that a response arrives matters, and the client notes when one does.
+      // The result does not matter: the client records when a response arrives.
       state.get(Keys.TERM, RequestPriority.VITAL, result -> {});
     }
   }
--- a/src/main/java/org/saffronshore/state/StateTransport.java
+++ b/src/main/java/org/saffronshore/state/StateTransport.java
@@ -11,16 +11,19 @@
  * service responds.
  */
 final class StateTransport {
-  /** The response to a request that is not sent because the budget is spent. */
+  /** The response to a request that is not sent because the request budget is used up. */
   static final Response OVER_BUDGET = new Response(429, new byte[0]);
 
   /**
-   * The response to a normal request that is not sent because the service does not respond: users
-   * need not wait for a time limit to learn that.
+   * The response to a normal request that is not sent because the service does not respond, so that
+   * users need not wait for the time limit.
    */
   private static final Response UNRESPONSIVE = new Response(503, new byte[0]);
 
-  /** So many requests in a row without a response mean that the service does not respond. */
+  /**
+   * The number of consecutive requests without a response after which the service counts as
+   * unresponsive.
+   */
   private static final int UNRESPONSIVE_THRESHOLD = 3;
 
   private static final int TOO_MANY_REQUESTS = 429;
@@ -30,7 +33,7 @@
   private final Settings settings;
   private final RequestBudget budget;
 
-  /** Requests in a row that got no response. */
+  /** The number of requests without a response since the last response. */
   private int consecutiveFailures;
 
   private double lastSentAt;
@@ -43,7 +46,7 @@
     this.budget = budget;
   }
 
-  /** When the service last responded with anything but a refusal, on the loop's clock. */
+  /** Returns when the service last responded with a status below 429, on the loop's clock. */
   double lastResponseAt() {
     return lastResponseAt;
   }
@@ -52,7 +55,7 @@
    * Sends a request.
    *
    * @param body null for a request without one
-   * @param timeoutS after how many seconds without a response the request counts as lost
+   * @param timeoutS the number of seconds without a response after which the request fails
    */
   void send(
       String method,
@@ -82,7 +85,11 @@
         });
   }
 
-  /** One normal request per time limit is sent all the same, to notice that the service is back. */
+  /**
+   * Returns whether normal requests must not be sent because the service does not respond. When no
+   * request was sent within the last time limit, the result is false: the next request detects
+   * whether the service responds again.
+   */
   private boolean isUnresponsive(double timeoutS) {
     return consecutiveFailures >= UNRESPONSIVE_THRESHOLD && loop.now() < lastSentAt + timeoutS;
   }
--- a/src/main/java/org/saffronshore/state/Transaction.java
+++ b/src/main/java/org/saffronshore/state/Transaction.java
@@ -7,21 +7,21 @@
 import org.saffronshore.wire.Json;
 
 /**
- * A transaction that is being built: conditions on the versions of keys, and writes, which all
- * happen if every condition holds and otherwise not at all.
+ * A transaction that is being built: conditions on the versions of keys, and writes, which are all
+ * applied if every condition holds, and otherwise none of them.
  */
 public final class Transaction {
-  /** The state service takes so many times more conditions than writes. */
+  /** The state service allows this many conditions for each write that it allows. */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  /** The version to expect of a key that does not exist. */
+  /** The expected version of a key that does not exist. */
   static final long ABSENT = 0;
 
   private final ObjectNode body = Json.object();
   private final ArrayNode conditions = body.putArray(ProtocolFields.CONDITIONS);
   private final ArrayNode writes = body.putArray(ProtocolFields.WRITES);
 
-  /** How many conditions the state service takes in a transaction. */
+  /** Returns the maximum number of conditions that the state service allows in a transaction. */
   public static int maxConditions(Settings settings) {
     return CONDITIONS_PER_WRITE * settings.maxTransactionWrites();
   }
@@ -38,7 +38,7 @@
     return this;
   }
 
-  /** Adds a write of a key that is deleted when the lease it is attached to ends. */
+  /** Adds a write that attaches a key to a lease; the key is deleted when the lease ends. */
   public Transaction put(String key, JsonNode value, long leaseId) {
     writes
         .addObject()
@@ -58,7 +58,7 @@
     return writes.size();
   }
 
-  /** The message; that of a transaction without writes has no list of them. */
+  /** Returns the message; without writes it has no list of writes. */
   byte[] toBytes() {
     if (writes.isEmpty()) {
       body.remove(ProtocolFields.WRITES);
--- a/src/main/java/org/saffronshore/state/Vote.java
+++ b/src/main/java/org/saffronshore/state/Vote.java
@@ -20,7 +20,7 @@
   private static final String INCARNATION_FIELD = "Life";
   private static final String NUMBER_FIELD = "N";
 
-  /** Reads a stored value; what is missing in it is not known. */
+  /** Reads a stored value; a missing field is not known. */
   public static Vote parse(JsonNode stored) {
     return new Vote(
         Json.integer(stored, TERM_FIELD, -1),
@@ -29,7 +29,7 @@
         Json.integer(stored, NUMBER_FIELD, -1));
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public ObjectNode toJson() {
     return Json.object()
         .put(TERM_FIELD, term)
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -21,7 +21,7 @@
   private static final String TERM_FIELD = "Term";
   private static final String NUMBER_FIELD = "N";
 
-  /** Reads a stored value; what is missing in it is not known. */
+  /** Reads a stored value; a missing field is not known. */
   public static VoteRequest parse(JsonNode stored) {
     return new VoteRequest(
         Json.text(stored, CANDIDATE_FIELD),
@@ -30,7 +30,7 @@
         Json.integer(stored, NUMBER_FIELD, 0));
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public ObjectNode toJson() {
     return Json.object()
         .put(CANDIDATE_FIELD, candidate)
@@ -39,7 +39,7 @@
         .put(NUMBER_FIELD, number);
   }
 
-  /** A vote for this request. */
+  /** Returns a vote for this request. */
   public Vote toVote() {
     return new Vote(term, candidate, incarnation, number);
   }
--- a/src/main/java/org/saffronshore/state/WatchResult.java
+++ b/src/main/java/org/saffronshore/state/WatchResult.java
@@ -11,18 +11,18 @@
  * The result of a watch on a prefix.
  *
  * @param revision the revision from which the next watch continues
- * @param events the changes in their order; empty unless they were received
+ * @param events the changes, in the order in which they were made; empty unless they were received
  */
 public record WatchResult(Outcome outcome, long revision, List<Event> events) {
 
-  /** Whether the watch received the changes, of which there may be none. */
+  /** Whether the watch received a list of changes, which may be empty. */
   public enum Outcome {
     RECEIVED,
 
-    /** The state service does not keep changes from so long ago: the keys have to be listed. */
+    /** The state service no longer has changes from that revision: the keys must be listed. */
     COMPACTED,
 
-    /** The state service did not respond, or not with changes. */
+    /** The state service did not respond, or responded without a list of changes. */
     UNKNOWN
   }
 
--- a/src/main/java/org/saffronshore/state/package-info.java
+++ b/src/main/java/org/saffronshore/state/package-info.java
@@ -1,20 +1,20 @@
 /**
- * The state service as the controllers use it, and the forms of what they store there.
+ * The client of the state service, and the stored forms of what the controllers keep there.
  *
  * <ul>
- *   <li>{@link org.saffronshore.state.StateClient} has the service's operations. It sends them
+ *   <li>{@link org.saffronshore.state.StateClient} has the service's operations. It sends requests
  *       within the controller's share of the service's rates, and returns a typed result for each.
- *       The names of the service's protocol stand in this package alone.
- *   <li>{@link org.saffronshore.state.Keys} names the keys, and says of each who writes and reads
- *       it. Each stored form is a record with {@code parse} and {@code toJson}, such as {@link
- *       org.saffronshore.state.JobRecord}; elsewhere a stored value is opaque.
+ *       No other package uses the names of the service's protocol.
+ *   <li>{@link org.saffronshore.state.Keys} defines the keys, and documents who writes and reads
+ *       each of them. Each stored form is a record with {@code parse} and {@code toJson}, such as
+ *       {@link org.saffronshore.state.JobRecord}; outside these records a stored value is opaque.
  *   <li>{@link org.saffronshore.state.JobStore} serves users' submissions, look-ups and
- *       cancellations, for which no leader is needed.
+ *       cancellations, which need no leader.
  * </ul>
  *
  * <p>The package uses {@code wire} for job specifications and JSON, {@code http} for requests and
- * the event loop, and {@code config} for the settings. Nothing here knows who leads or what runs
- * where. All of it runs on the event loop.
+ * the event loop, and {@code config} for the settings. The package does not determine who leads or
+ * which task runs where. All of its code runs on the event loop.
  */
 @NullMarked
 package org.saffronshore.state;
