--- a/src/test/java/org/saffronshore/state/JobDependenciesTest.java
+++ b/src/test/java/org/saffronshore/state/JobDependenciesTest.java
@@ -37,7 +37,7 @@
     assertEquals(List.of(result), takeResults());
   }
 
-  /** The outcome is read again, and not taken for a job that was never accepted. */
+  /** The outcome must be read again; the job must not be mistaken for one never accepted. */
   @Test
   void submissionIsAcceptedWhenADependencyEndsMeanwhile() {
     store.submit(job(1), 0, results::add);
@@ -45,7 +45,7 @@
     otherStore.submit(job(2, "wk-1"), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
     complete(1);
-    // The cache has wk-1 as an open job by now.
+    // The cache still has wk-1 as an open job.
     otherStore.submit(job(3, "wk-1"), 0, results::add);
     otherStore.submit(job(4), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED), takeResults());
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Each controller says so at once, of all jobs that depend on the cancelled one and of no others,
-   * whatever it has read before.
+   * After a cancellation, every controller must immediately report exactly the jobs that depend on
+   * the cancelled one as cancelled, whatever it has cached.
    */
   @ParameterizedTest
   @CsvSource({
@@ -89,7 +89,7 @@
     assertEquals(
         List.of(SubmissionResult.ACCEPTED_UNVERIFIED),
         takeResults(),
-        "it is accepted all the same");
+        "a job with a cancelled dependency is accepted");
     assertEquals(JobStatus.CANCELLED, lookUpStatus(newStore(), 6));
   }
 
@@ -104,9 +104,7 @@
     }
   }
 
-  /**
-   * Once the dependencies of a job are known, one request shows whether all of them are still open.
-   */
+  /** Once the dependencies of a job are cached, one request checks whether all of them are open. */
   @Test
   void lookUpOfAJobWithKnownDependenciesTakesOneRequest() {
     submitChain();
@@ -118,7 +116,7 @@
     assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
   }
 
-  /** A controller does not read again what it accepted itself, however deep the chain is. */
+  /** A controller must not read jobs again that it accepted itself, however deep the chain is. */
   @Test
   void submissionOfAChainTakesOneRequestPerJob() {
     for (int n = 1; n <= 10; n++) {
@@ -131,8 +129,8 @@
   }
 
   /**
-   * Whether the dependency is cancelled just before or while the submission is committed, no user
-   * gets "pending" as the job's status.
+   * A dependency is cancelled just before the submission is committed, or meanwhile, while the
+   * controller still has it cached as open. No user must get "pending" as the status of the job.
    */
   @ParameterizedTest
   @CsvSource({"1", "2"})
@@ -140,7 +138,7 @@
     submitChain();
     otherStore.cancel("wk-" + cancelled, results::add);
     takeResults();
-    // The cache has the chain as open jobs.
+    // The cache still has the jobs of the chain as open.
     store.submit(job(6, "wk-4"), 0, results::add);
     store.submit(job(7), 0, results::add);
     assertEquals(
@@ -151,8 +149,9 @@
   }
 
   /**
-   * A job may have as many dependencies as its record has room for, however few conditions a
-   * transaction may have: a controller that has read none of them reads all with a few requests.
+   * The number of dependencies of a job is limited only by the length of its record, not by the
+   * number of conditions in a transaction. A controller that has read none of them must read all of
+   * them with a few requests.
    */
   @ParameterizedTest
   @CsvSource({
@@ -190,7 +189,7 @@
     assertEquals(0, service.malformed);
   }
 
-  /** One of many is cancelled or done while the job that depends on them is open. */
+  /** One of many dependencies is completed, then another is cancelled, while the job is open. */
   @ParameterizedTest
   @CsvSource({"20", "100", "400"})
   void lookUpFindsTheOutcomeOfOneAmongManyDependencies(int jobs) {
--- a/src/test/java/org/saffronshore/state/JobLookupTest.java
+++ b/src/test/java/org/saffronshore/state/JobLookupTest.java
@@ -24,7 +24,7 @@
             .count());
   }
 
-  /** An outcome never changes, so the state service need not be read for it. */
+  /** An outcome never changes, so a cached outcome is returned without a request. */
   @Test
   void knownOutcomeIsReturnedWhileTheStateServiceIsUnavailable() {
     store.submit(job(1), 0, results::add);
@@ -38,7 +38,7 @@
   }
 
   /**
-   * With a request for each of them, a burst of polls would use up the controller's share of the
+   * With one request per look-up, a burst of polls would use up the controller's share of the
    * request rate.
    */
   @Test
@@ -68,7 +68,7 @@
     assertEquals(0, service.malformed);
   }
 
-  /** The protocol does not say that a conflict names every key whose condition did not hold. */
+  /** The protocol does not promise that a conflict names every key whose condition failed. */
   @Test
   void jobsNotNamedInAConflictAreCheckedAgain() {
     service.namesOneFailure = true;
--- a/src/test/java/org/saffronshore/state/JobStoreTestBase.java
+++ b/src/test/java/org/saffronshore/state/JobStoreTestBase.java
@@ -13,21 +13,21 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** Two controllers' stores of jobs, which use one state service. */
+/** Sets up the job stores of two controllers, which use the same state service. */
 abstract class JobStoreTestBase {
   final ManualEventLoop loop = new ManualEventLoop();
   final FakeStateService service = new FakeStateService(loop);
   final JobStore store = newStore();
   final JobStore otherStore = newStore();
 
-  /** What callbacks got, in their order. */
+  /** The arguments of the callbacks, in the order of the calls. */
   final List<Object> results = new ArrayList<>();
 
   final JobStore newStore() {
     return newStore(TestData.settings().maxTransactionWrites());
   }
 
-  /** A store whose settings allow so many writes in a transaction. */
+  /** Returns a store whose settings allow the given number of writes in a transaction. */
   final JobStore newStore(int maxTransactionWrites) {
     ObjectNode json = TestData.settingsJson();
     json.withObject("/cluster/state").put("txn_ops", maxTransactionWrites);
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Waits, and returns the results since the last time. */
+  /** Runs the event loop for five seconds, and returns and clears the results. */
   final List<Object> takeResults() {
     loop.pass(5);
     List<Object> taken = List.copyOf(results);
@@ -57,16 +57,19 @@
   }
 
   /**
-   * A job with dependencies.
+   * Returns a job with dependencies.
    *
-   * @param dependencies ids with spaces between them
+   * @param dependencies job ids, separated by spaces
    */
   static JobSpec job(int number, String dependencies) {
     return job(number)
         .withDependencies(dependencies.isEmpty() ? List.of() : List.of(dependencies.split(" ")));
   }
 
-  /** Submits wk-1 to wk-4, each depending on the one before, and wk-5, on wk-1 and wk-3. */
+  /**
+   * Submits wk-1 to wk-4, each of which depends on the one before, and wk-5, which depends on wk-1
+   * and wk-3.
+   */
   final void submitChain() {
     for (JobSpec job :
         List.of(job(1), job(2, "wk-1"), job(3, "wk-2"), job(4, "wk-3"), job(5, "wk-1 wk-3"))) {
@@ -75,7 +78,7 @@
     }
   }
 
-  /** Gives an open job the outcome DONE, as a leader does. */
+  /** Replaces an open job's record by the outcome DONE, as the leader does. */
   final void complete(int number) {
     service.remove("j/wk-" + number);
     service.put("f/wk-" + number, new JobOutcome(JobStatus.DONE, 1).toJson());
--- a/src/test/java/org/saffronshore/state/JobSubmissionTest.java
+++ b/src/test/java/org/saffronshore/state/JobSubmissionTest.java
@@ -34,8 +34,8 @@
   }
 
   /**
-   * A transaction whose response is lost may have been committed: the user has to ask again, and
-   * gets the result then.
+   * A transaction whose response is lost may have been committed, so the result must be UNKNOWN
+   * until the user asks again.
    */
   @Test
   void commitWhoseResponseIsLostIsReportedAsUnknown() {
@@ -53,7 +53,10 @@
     assertEquals(List.of(JobStatus.CANCELLED), takeResults());
   }
 
-  /** A submission that is committed late must not reopen a job that was cancelled meanwhile. */
+  /**
+   * The commit of a submission is executed long after its time limit, when the job has been
+   * submitted again and cancelled. It must not reopen the job.
+   */
   @Test
   void lateCommitDoesNotReopenACancelledJob() {
     service.held = (method, path) -> path.equals("/commit");
@@ -70,8 +73,9 @@
   }
 
   /**
-   * The state service takes shorter values than announced: the submissions that share a transaction
-   * with one that is too long are accepted all the same.
+   * The state service allows shorter values than announced, and rejects a transaction because one
+   * of its job records is too long. The other submissions in that transaction must still be
+   * accepted.
    */
   @Test
   void malformedSubmissionDoesNotPreventOthersFromBeingAccepted() {
@@ -105,8 +109,8 @@
     }
     assertTrue(
         results.stream().filter(SubmissionResult.OVERLOADED::equals).count() > 1_000,
-        "refused at once");
+        "most submissions are refused immediately");
     loop.pass(60);
-    assertEquals(2_000, results.size(), "every submission got its result");
+    assertEquals(2_000, results.size(), "every submission has a result");
   }
 }
