--- a/src/test/java/org/saffronshore/state/JobDependenciesTest.java
+++ b/src/test/java/org/saffronshore/state/JobDependenciesTest.java
@@ -37,7 +37,7 @@
     assertEquals(List.of(result), takeResults());
   }
 
-  /** The outcome is read again, and not taken for a job that was never accepted. */
+  /** The outcome must be read again; the job must not be mistaken for one never accepted. */
   @Test
   void submissionIsAcceptedWhenADependencyEndsMeanwhile() {
     store.submit(job(1), 0, results::add);
@@ -45,7 +45,7 @@
     otherStore.submit(job(2, "wk-1"), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
     complete(1);
-    // The cache has wk-1 as an open job by now.
+    // The cache still has wk-1 as an open job.
     otherStore.submit(job(3, "wk-1"), 0, results::add);
     otherStore.submit(job(4), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED), takeResults());
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Each controller says so at once, of all jobs that depend on the cancelled one and of no others,
-   * whatever it has read before.
+   * After a cancellation, every controller must immediately report exactly the jobs that depend on
+   * the cancelled one as cancelled, whatever it has cached.
    */
   @ParameterizedTest
   @CsvSource({
@@ -71,17 +71,17 @@
     "4, OPEN OPEN OPEN CANCELLED OPEN",
     "5, OPEN OPEN OPEN OPEN CANCELLED"
   })
-  void jobIsCancelledWithAnyJobThatItDependsOn(int cancelled, String statuses) {
+  void jobIsCancelledWhenADependencyIsCancelled(int cancelled, String statuses) {
     submitChain();
     for (int n = 1; n <= 5; n++) {
-      assertEquals(JobStatus.OPEN, statusAt(store, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(store, n));
     }
     otherStore.cancel("wk-" + cancelled, results::add);
     takeResults();
     for (JobStore each : List.of(store, otherStore, newStore())) {
       List<String> found = new ArrayList<>();
       for (int n = 1; n <= 5; n++) {
-        found.add(statusAt(each, n).name());
+        found.add(lookUpStatus(each, n).name());
       }
       assertEquals(statuses, String.join(" ", found));
     }
@@ -89,36 +89,34 @@
     assertEquals(
         List.of(SubmissionResult.ACCEPTED_UNVERIFIED),
         takeResults(),
-        "it is accepted all the same");
-    assertEquals(JobStatus.CANCELLED, statusAt(newStore(), 6));
+        "a job with a cancelled dependency is accepted");
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(newStore(), 6));
   }
 
   @Test
-  void jobStaysOpenWhenADoneDependencyIsToBeCancelled() {
+  void jobStaysOpenWhenCancellationOfACompletedDependencyIsRequested() {
     submitChain();
     complete(1);
     store.cancel("wk-1", results::add);
     assertEquals(List.of(JobStatus.DONE), takeResults());
     for (int n = 2; n <= 5; n++) {
-      assertEquals(JobStatus.OPEN, statusAt(otherStore, n));
+      assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, n));
     }
   }
 
-  /**
-   * Once the dependencies of a job are known, one request shows whether all of them are still open.
-   */
+  /** Once the dependencies of a job are cached, one request checks whether all of them are open. */
   @Test
   void lookUpOfAJobWithKnownDependenciesTakesOneRequest() {
     submitChain();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
     int before = service.log.size();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
     assertEquals(1, service.log.size() - before, service.log.toString());
     complete(1);
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
   }
 
-  /** A controller does not read again what it accepted itself, however deep the chain is. */
+  /** A controller must not read jobs again that it accepted itself, however deep the chain is. */
   @Test
   void submissionOfAChainTakesOneRequestPerJob() {
     for (int n = 1; n <= 10; n++) {
@@ -127,12 +125,12 @@
       assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
       assertEquals(1, service.log.size() - before, service.log.toString());
     }
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 10));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 10));
   }
 
   /**
-   * Whether the dependency is cancelled just before or while the submission is committed, no user
-   * gets "pending" as the job's status.
+   * A dependency is cancelled just before the submission is committed, or meanwhile, while the
+   * controller still has it cached as open. No user must get "pending" as the status of the job.
    */
   @ParameterizedTest
   @CsvSource({"1", "2"})
@@ -140,19 +138,20 @@
     submitChain();
     otherStore.cancel("wk-" + cancelled, results::add);
     takeResults();
-    // The cache has the chain as open jobs.
+    // The cache still has the jobs of the chain as open.
     store.submit(job(6, "wk-4"), 0, results::add);
     store.submit(job(7), 0, results::add);
     assertEquals(
         List.of(SubmissionResult.ACCEPTED, SubmissionResult.ACCEPTED_UNVERIFIED),
         takeResults().stream().sorted().toList());
-    assertEquals(JobStatus.CANCELLED, statusAt(store, 6));
-    assertEquals(JobStatus.OPEN, statusAt(store, 7));
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(store, 6));
+    assertEquals(JobStatus.OPEN, lookUpStatus(store, 7));
   }
 
   /**
-   * A job may have as many dependencies as its record has room for, however few conditions a
-   * transaction may have: a controller that has read none of them reads all with a few requests.
+   * The number of dependencies of a job is limited only by the length of its record, not by the
+   * number of conditions in a transaction. A controller that has read none of them must read all of
+   * them with a few requests.
    */
   @ParameterizedTest
   @CsvSource({
@@ -181,8 +180,8 @@
     int before = service.log.size();
     unreadStore.submit(job(1).withDependencies(dependencies), 0, results::add);
     assertEquals(List.of(result), takeResults());
-    assertEquals(status, statusAt(unreadStore, 1));
-    assertEquals(status, statusAt(newStore(2), 1));
+    assertEquals(status, lookUpStatus(unreadStore, 1));
+    assertEquals(status, lookUpStatus(newStore(2), 1));
     assertTrue(service.log.size() - before <= 30, service.log.size() - before + " requests");
     dependencies.add("wk-999999");
     newStore(2).submit(job(2).withDependencies(dependencies), 0, results::add);
@@ -190,10 +189,10 @@
     assertEquals(0, service.malformed);
   }
 
-  /** One of many is cancelled or done while the job that depends on them is open. */
+  /** One of many dependencies is completed, then another is cancelled, while the job is open. */
   @ParameterizedTest
   @CsvSource({"20", "100", "400"})
-  void outcomeOfOneAmongManyDependenciesIsFound(int jobs) {
+  void lookUpFindsTheOutcomeOfOneAmongManyDependencies(int jobs) {
     List<String> dependencies = new ArrayList<>();
     for (int n = 1000; n < 1000 + jobs; n++) {
       dependencies.add("wk-" + n);
@@ -201,12 +200,12 @@
     }
     store.submit(job(1).withDependencies(dependencies), 0, results::add);
     takeResults();
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 1));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 1));
     complete(1000);
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 1));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 1));
     store.cancel("wk-1010", results::add);
     takeResults();
-    assertEquals(JobStatus.CANCELLED, statusAt(otherStore, 1));
+    assertEquals(JobStatus.CANCELLED, lookUpStatus(otherStore, 1));
   }
 
   @Test
--- a/src/test/java/org/saffronshore/state/JobSubmissionTest.java
+++ b/src/test/java/org/saffronshore/state/JobSubmissionTest.java
@@ -9,7 +9,7 @@
 
 class JobSubmissionTest extends JobStoreTestBase {
   @Test
-  void jobIsAcceptedOnceByAllControllersTogether() {
+  void jobIsAcceptedOnceAcrossControllers() {
     store.submit(job(1), 0, results::add);
     assertEquals(List.of(SubmissionResult.ACCEPTED), takeResults());
     otherStore.submit(job(1), 0, results::add);
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void duplicateAmongSubmissionsThatShareATransactionIsRefusedAlone() {
+  void duplicateInABatchIsTheOnlySubmissionRefused() {
     store.submit(job(3), 0, results::add);
     takeResults();
     int before = service.log.size();
@@ -34,8 +34,8 @@
   }
 
   /**
-   * A transaction whose response is lost may have been committed: the user has to ask again, and
-   * gets the result then.
+   * A transaction whose response is lost may have been committed, so the result must be UNKNOWN
+   * until the user asks again.
    */
   @Test
   void commitWhoseResponseIsLostIsReportedAsUnknown() {
@@ -53,9 +53,12 @@
     assertEquals(List.of(JobStatus.CANCELLED), takeResults());
   }
 
-  /** A submission that is committed late must not reopen a job that was cancelled meanwhile. */
+  /**
+   * The commit of a submission is executed long after its time limit, when the job has been
+   * submitted again and cancelled. It must not reopen the job.
+   */
   @Test
-  void submissionThatIsCommittedLateDoesNotReopenACancelledJob() {
+  void lateCommitDoesNotReopenACancelledJob() {
     service.held = (method, path) -> path.equals("/commit");
     store.submit(job(1), 0, results::add);
     assertEquals(List.of(SubmissionResult.UNKNOWN), takeResults());
@@ -70,11 +73,12 @@
   }
 
   /**
-   * The state service takes shorter values than announced: the submissions that share a transaction
-   * with one that is too long are accepted all the same.
+   * The state service allows shorter values than announced, and rejects a transaction because one
+   * of its job records is too long. The other submissions in that transaction must still be
+   * accepted.
    */
   @Test
-  void malformedSubmissionDoesNotKeepOthersFromBeingAccepted() {
+  void malformedSubmissionDoesNotPreventOthersFromBeingAccepted() {
     service.valueBytes = 600;
     List<String> many = new ArrayList<>();
     for (int n = 100; n < 200; n++) {
@@ -94,8 +98,8 @@
         received.toString());
     assertEquals(
         1, received.stream().filter(SubmissionResult.UNKNOWN::equals).count(), received.toString());
-    assertEquals(JobStatus.NOT_FOUND, statusAt(otherStore, 3));
-    assertEquals(JobStatus.OPEN, statusAt(otherStore, 5));
+    assertEquals(JobStatus.NOT_FOUND, lookUpStatus(otherStore, 3));
+    assertEquals(JobStatus.OPEN, lookUpStatus(otherStore, 5));
   }
 
   @Test
@@ -105,8 +109,8 @@
     }
     assertTrue(
         results.stream().filter(SubmissionResult.OVERLOADED::equals).count() > 1_000,
-        "refused at once");
+        "most submissions are refused immediately");
     loop.pass(60);
-    assertEquals(2_000, results.size(), "every submission got its result");
+    assertEquals(2_000, results.size(), "every submission has a result");
   }
 }
