--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -29,7 +29,7 @@
  */
 public final class Cluster {
   /** The rate at which jobs come is taken over twice this share of a lease. */
-  private static final double RATE_LEASES = 0.5;
+  private static final double ARRIVAL_WINDOW_LEASES = 0.5;
 
   private final long term;
   private final double startedAt;
@@ -60,7 +60,7 @@
     Runnable onChange = () -> changed = true;
     this.term = term;
     this.startedAt = loop.now();
-    this.arrivals = new ArrivalStatistics(RATE_LEASES * settings.workerLeaseS());
+    this.arrivals = new ArrivalStatistics(ARRIVAL_WINDOW_LEASES * settings.workerLeaseS());
     this.jobs = new JobTable(loop, arrivals, termVersion, onChange);
     this.machines = new MachineTable(loop, settings);
     this.reconciliation = new Reconciliation(jobs);
@@ -344,7 +344,7 @@
   }
 
   /** Preempts a task, with time to save its progress where it can. */
-  public void stop(TaskId task, String machineId, String detail) {
+  public void preempt(TaskId task, String machineId, String detail) {
     attempts.preempt(task, machineId, detail);
   }
 
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -143,7 +143,7 @@
       }
       BitSet tasks =
           reconciliation.mayRunOnUnreconciled(job)
-              ? tasksCertainlyNowhere(job, anyMayHoldAnything)
+              ? waitingTasksNotOnUnreconciled(job, anyMayHoldAnything)
               : job.waitingTasks();
       if (!canRaiseWatermarks) {
         tasks = tasks.get(0, Math.min(job.launchWatermark(), job.spec().tasks()));
@@ -160,7 +160,7 @@
   }
 
   /** Waiting tasks of the job except for those that unreconciled machines may hold. */
-  private BitSet tasksCertainlyNowhere(Job job, boolean anyMayHoldAnything) {
+  private BitSet waitingTasksNotOnUnreconciled(Job job, boolean anyMayHoldAnything) {
     BitSet tasks = (BitSet) job.waitingTasks().clone();
     if (anyMayHoldAnything) {
       tasks.andNot(job.waitingTasksLaunchedBefore());
--- a/src/main/java/org/saffronshore/cluster/CommandBuilder.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBuilder.java
@@ -11,7 +11,7 @@
  * may forget.
  */
 final class CommandBuilder {
-  private static final int MAX_COMMANDS = 400;
+  private static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
   private final EventLoop loop;
   private final Settings settings;
@@ -63,7 +63,7 @@
   private void addCommands(
       Machine machine, List<Command> commands, List<Attempt> launches, boolean direct) {
     for (Attempt attempt : machine.attempts()) {
-      if (commands.size() >= MAX_COMMANDS) {
+      if (commands.size() >= MAX_COMMANDS_PER_MESSAGE) {
         return;
       }
       if (attempt.isLaunching()) {
@@ -74,7 +74,7 @@
       }
     }
     for (Attempt attempt : machine.tasks().exited()) {
-      if (commands.size() >= MAX_COMMANDS) {
+      if (commands.size() >= MAX_COMMANDS_PER_MESSAGE) {
         return;
       }
       if (isReapable(attempt)) {
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -14,7 +14,7 @@
  */
 final class CommandDispatcher {
   /** Each failure in a row adds this part of a heartbeat interval to the pause after it. */
-  private static final double PAUSE_DIVISOR = 6;
+  private static final double BACKOFF_DIVISOR = 6;
 
   private final EventLoop loop;
   private final Settings settings;
@@ -53,7 +53,7 @@
         || machine.address() == null
         || !machine.delivery().isReady(loop.now())
         || !commandBuilder.hasCommands(machine)
-        || !isExpectedToListen(machine)) {
+        || !isExpectedToRespond(machine)) {
       return null;
     }
     List<Attempt> launches = new ArrayList<>();
@@ -70,7 +70,7 @@
    * An unreconciled machine that was not heard in this term is sent an empty batch, which asks for
    * its status: tasks of older jobs wait for what it holds.
    */
-  private boolean isExpectedToListen(Machine machine) {
+  private boolean isExpectedToRespond(Machine machine) {
     return machine.isUp()
         ? !machine.health().isSilent(loop.now())
         : reconciliation.isUnreconciled(machine);
@@ -97,14 +97,14 @@
     if (received) {
       delivery.succeeded();
     } else {
-      delivery.failed(loop.now(), settings.heartbeatIntervalS() / PAUSE_DIVISOR);
+      delivery.failed(loop.now(), settings.heartbeatIntervalS() / BACKOFF_DIVISOR);
     }
     if (status != null) {
       // Executed, or rejected, and yet the worker does not show it: it is not there.
-      batch.launches().stream().filter(CommandDispatcher::neverArrives).forEach(attempts::end);
+      batch.launches().stream().filter(CommandDispatcher::cannotStart).forEach(attempts::end);
     }
     if (machines.contains(machine)) {
-      commandQueue.markDueIfAny(machine);
+      commandQueue.markDueIfHasCommands(machine);
     }
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Whether no heartbeat has shown the attempt and no launch of it can arrive any more. */
-  private static boolean neverArrives(Attempt attempt) {
+  private static boolean cannotStart(Attempt attempt) {
     return attempt.isLaunching() && !attempt.launchMayArrive() && attempt.isOnMachine();
   }
 
@@ -124,7 +124,7 @@
   void requeueRetryable() {
     for (Machine machine : machines.all()) {
       if (machine.isUp() && !machine.delivery().isInFlight()) {
-        commandQueue.markDueIfAny(machine);
+        commandQueue.markDueIfHasCommands(machine);
       }
     }
   }
--- a/src/main/java/org/saffronshore/cluster/CommandQueue.java
+++ b/src/main/java/org/saffronshore/cluster/CommandQueue.java
@@ -7,7 +7,7 @@
 /** Machines that have, or may have, commands to be sent; the one that has waited longest first. */
 final class CommandQueue {
   private final CommandBuilder commandBuilder;
-  private final Set<Machine> due = new LinkedHashSet<>();
+  private final Set<Machine> dueMachines = new LinkedHashSet<>();
 
   CommandQueue(CommandBuilder commandBuilder) {
     this.commandBuilder = commandBuilder;
@@ -15,19 +15,19 @@
 
   /** The machine has, or may have, commands; one that waits already keeps its place. */
   void markDue(Machine machine) {
-    due.add(machine);
+    dueMachines.add(machine);
   }
 
   /** Queues the machine if it has commands. */
-  void markDueIfAny(Machine machine) {
+  void markDueIfHasCommands(Machine machine) {
     if (commandBuilder.hasCommands(machine)) {
-      due.add(machine);
+      dueMachines.add(machine);
     }
   }
 
   /** Takes the machine that has waited longest; null when none waits. */
   @Nullable Machine poll() {
-    var first = due.iterator();
+    var first = dueMachines.iterator();
     if (!first.hasNext()) {
       return null;
     }
--- a/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
@@ -110,12 +110,12 @@
     }
     // Most heartbeats say nothing new, and there are hundreds in a second.
     if (reconciledNow || noticedNow || !machine.tasks().isUpToDateWith(heartbeat.tasks())) {
-      applyNews(machine, heartbeat, noticedNow, reconciledNow);
+      applyChanges(machine, heartbeat, noticedNow, reconciledNow);
     }
-    commandQueue.markDueIfAny(machine);
+    commandQueue.markDueIfHasCommands(machine);
   }
 
-  private void applyNews(
+  private void applyChanges(
       Machine machine, Heartbeat heartbeat, boolean noticedNow, boolean reconciledNow) {
     taskStatuses.apply(machine, heartbeat.tasks());
     Double noticeS = heartbeat.preemptionNoticeS();
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -33,19 +33,19 @@
   private final MachineTable machines;
   private final Reconciliation reconciliation;
   private final Map<String, Team> teams;
-  private final SchedulingSettings tuning;
+  private final SchedulingSettings settings;
 
   /** What tasks of unknown teams may take. */
-  private final Resources ofUnknownTeams = none();
+  private final Resources unknownTeamUsage = zero();
 
   /** All of the machines that may hold anything. */
-  private final Resources ofMachinesWithAnything = none();
+  private final Resources mayHoldAnythingCapacity = zero();
 
   /** By team, possible tasks of open jobs that no heartbeat has shown and that are not finished. */
-  private final Map<String, Resources> possibleOfOpenJobs = new HashMap<>();
+  private final Map<String, Resources> possibleOpenJobUsage = new HashMap<>();
 
   /** The same of jobs that ended in this term. */
-  private final Map<String, Resources> possibleOfEndedJobs = new HashMap<>();
+  private final Map<String, Resources> possibleEndedJobUsage = new HashMap<>();
 
   /** Possible tasks that are counted already; two registry entries may name the same one. */
   private final Set<TaskId> countedPossibleTasks = new HashSet<>();
@@ -60,7 +60,7 @@
     this.machines = machines;
     this.reconciliation = reconciliation;
     this.teams = teams;
-    this.tuning = tuning;
+    this.settings = tuning;
   }
 
   /** Counts into the teams, which nothing was counted into before. */
@@ -73,10 +73,10 @@
     QuotaAccounting usage = new QuotaAccounting(jobs, machines, reconciliation, teams, tuning);
     machines.all().forEach(usage::addAttempts);
     reconciliation.machines().forEach(usage::addPossibleTasks);
-    usage.addTotals();
+    usage.addTotalsToTeams();
   }
 
-  private static Resources none() {
+  private static Resources zero() {
     return new Resources(0, 0, 0);
   }
 
@@ -90,14 +90,14 @@
       }
       Team team = teams.get(job.team());
       if (team != null) {
-        team.addLaunched(job, tuning);
+        team.addLaunched(job, settings);
         if (attempt.isRunningOrCheckpointing()) {
           team.addRunning(job);
         }
       }
     }
     if (!allKnown) {
-      addUnknown(capacityBesideKnownAttempts(machine));
+      addUnknownTeamUsage(capacityBesideKnownAttempts(machine));
     }
   }
 
@@ -115,7 +115,7 @@
   private void addPossibleTasks(Machine machine) {
     Resources remaining = capacity(machine);
     if (machine.possibleTasks().isAnything()) {
-      ofMachinesWithAnything.add(remaining);
+      mayHoldAnythingCapacity.add(remaining);
       return;
     }
     boolean allKnown = true;
@@ -130,24 +130,25 @@
       // One that is finished, or shown by another machine, is counted there if anywhere.
       boolean mayBeHere = job == null || job.isWaiting(task.index());
       if (mayBeHere && countedPossibleTasks.add(task)) {
-        (job == null ? possibleOfEndedJobs : possibleOfOpenJobs)
-            .computeIfAbsent(spec.team(), team -> none())
+        (job == null ? possibleEndedJobUsage : possibleOpenJobUsage)
+            .computeIfAbsent(spec.team(), team -> zero())
             .add(spec);
       }
     }
     if (!allKnown) {
-      addUnknown(remaining);
+      addUnknownTeamUsage(remaining);
     }
   }
 
-  private void addUnknown(Resources remaining) {
-    ofUnknownTeams.add(new Resources(Math.max(0, remaining.cpus), Math.max(0, remaining.gpus), 0));
+  private void addUnknownTeamUsage(Resources remaining) {
+    unknownTeamUsage.add(
+        new Resources(Math.max(0, remaining.cpus), Math.max(0, remaining.gpus), 0));
   }
 
   /** All that a machine has; of one whose type is not known, more than any type has. */
   private Resources capacity(Machine machine) {
     MachineType knownType = machines.typeOf(machine);
-    Resources capacity = none();
+    Resources capacity = zero();
     for (MachineType type :
         knownType != null ? List.of(knownType) : List.copyOf(machines.types().values())) {
       capacity.add(Resources.capacityOf(type));
@@ -159,25 +160,25 @@
    * Of what the machines that may hold anything can take, as much counts into a team's share as its
    * open jobs may have launched; the rest counts against its limit only.
    */
-  private void addTotals() {
-    Map<String, Resources> launchedUnnamed = launchedUnnamed();
-    Resources none = none();
+  private void addTotalsToTeams() {
+    Map<String, Resources> launchedNotNamed = launchedButNotNamed();
+    Resources none = zero();
     teams.forEach(
         (name, team) -> {
-          Resources open = possibleOfOpenJobs.getOrDefault(name, none);
-          Resources ended = possibleOfEndedJobs.getOrDefault(name, none);
-          Resources launched = launchedUnnamed.getOrDefault(name, none);
-          double cpus = Math.min(ofMachinesWithAnything.cpus, launched.cpus);
-          double gpus = Math.min(ofMachinesWithAnything.gpus, launched.gpus);
+          Resources open = possibleOpenJobUsage.getOrDefault(name, none);
+          Resources ended = possibleEndedJobUsage.getOrDefault(name, none);
+          Resources launched = launchedNotNamed.getOrDefault(name, none);
+          double cpus = Math.min(mayHoldAnythingCapacity.cpus, launched.cpus);
+          double gpus = Math.min(mayHoldAnythingCapacity.gpus, launched.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
           team.addUnattributed(
-              ended.cpus + ofUnknownTeams.cpus + ofMachinesWithAnything.cpus - cpus,
-              ended.gpus + ofUnknownTeams.gpus + ofMachinesWithAnything.gpus - gpus);
+              ended.cpus + unknownTeamUsage.cpus + mayHoldAnythingCapacity.cpus - cpus,
+              ended.gpus + unknownTeamUsage.gpus + mayHoldAnythingCapacity.gpus - gpus);
         });
   }
 
   /** By team, what earlier leaders may have launched and no registry entry names. */
-  private Map<String, Resources> launchedUnnamed() {
+  private Map<String, Resources> launchedButNotNamed() {
     Map<String, Integer> namedByJob = new HashMap<>();
     countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
@@ -186,7 +187,7 @@
         int unnamed =
             job.waitingTasksLaunchedBefore().cardinality() - namedByJob.getOrDefault(job.id(), 0);
         launched
-            .computeIfAbsent(job.spec().team(), team -> none())
+            .computeIfAbsent(job.spec().team(), team -> zero())
             .add(job.spec(), Math.max(0, unnamed));
       }
     }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -132,7 +132,7 @@
   private void apply(SchedulingPlan plan) {
     plan.placements().forEach(this::place);
     for (SchedulingPlan.Preemption preemption : plan.preemptions()) {
-      cluster.stop(preemption.task(), preemption.machine(), preemption.reason().toString());
+      cluster.preempt(preemption.task(), preemption.machine(), preemption.reason().toString());
     }
   }
 
--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -28,8 +28,8 @@
 class AttemptEndTest extends ClusterTestBase {
   @Test
   void tasksOfSilentMachineArePlaceableAgainAfterItsLeaseHasExpired() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(
         batch,
@@ -43,10 +43,10 @@
                 "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     loop.pass(1);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     cluster.heartbeatReceived(
         heartbeat(
             "host-1",
@@ -55,13 +55,13 @@
             TERM,
             taskStatus(
                 "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "a late heartbeat of an expired epoch changes nothing");
+    assertTrue(hasPlaceableJob(), "a late heartbeat of an expired epoch changes nothing");
   }
 
   @Test
   void statusInCommandResponseRenewsNoLease() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     cluster.batchCompleted(
@@ -76,13 +76,13 @@
                 "wk-1", 0, batch.launches().get(0).number(), TaskState.RUNNING, ExitReason.NONE)));
     loop.pass(2);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   @Test
   void olderHeartbeatIsIgnored() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     long attempt = batch.launches().get(0).number();
     cluster.batchCompleted(
@@ -96,20 +96,20 @@
             taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE)));
     cluster.heartbeatReceived(heartbeat("host-1", 1, 49, TERM));
     cluster.heartbeatReceived(heartbeat("host-1", 0, 99, TERM));
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
   }
 
   /** For how long it was known when the list was requested, and whether the list removes it. */
   @ParameterizedTest
   @CsvSource({"1, false", "9, false", "15, true"})
   void machineIsRemovedOnlyByListRequestedWellAfterItWasKnown(double age, boolean removed) {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     launch(machine);
     loop.pass(age);
     cluster.removeUnlisted(Set.of(), loop.now());
     assertEquals(removed, cluster.machine("host-1") == null);
-    assertEquals(removed, placeable());
+    assertEquals(removed, hasPlaceableJob());
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)),
@@ -119,11 +119,11 @@
 
   @Test
   void tasksOfFailedMachineArePlaceableAgain() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     launch(machine);
     cluster.machineListed(new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, true, 50));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     assertFalse(machine.isSchedulable(loop.now()));
   }
 
@@ -139,8 +139,8 @@
         "COMPLETED"
       })
   void taskIsFinishedOnlyWhenItsExitReasonIsCompleted(ExitReason reason) {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(
         batch,
@@ -152,10 +152,10 @@
             TERM,
             taskStatus("wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, reason)));
     assertEquals(reason == ExitReason.COMPLETED, openJob("wk-1").isComplete());
-    assertEquals(reason != ExitReason.COMPLETED, placeable());
+    assertEquals(reason != ExitReason.COMPLETED, hasPlaceableJob());
     assertEquals(
         reason != ExitReason.COMPLETED,
-        ops(cluster.responseCommands(machine)).contains(Command.Action.REAP),
+        actions(cluster.responseCommands(machine)).contains(Command.Action.REAP),
         "a result is kept until the state service knows of it");
   }
 
@@ -164,12 +164,12 @@
     for (int i = 0; i < 2; i++) {
       cluster.addJob(
           TestData.job("wk-" + i, "red", Priority.STANDARD, 1, 4),
-          KEY + 1,
+          TERM_VERSION + 1,
           0,
           new BitSet(),
           Integer.MAX_VALUE);
     }
-    Machine bad = up("host-1");
+    Machine bad = addUpMachine("host-1");
     for (int i = 0; i < MachineHealth.MAX_CONSECUTIVE_FAILURES; i++) {
       cluster.heartbeatReceived(
           heartbeat(
@@ -190,7 +190,7 @@
     assertEquals(2, cluster.view().pendingJobs(true).size(), "the jobs are not to blame");
 
     for (int i = 2; i < 5; i++) {
-      up("host-" + i);
+      addUpMachine("host-" + i);
       cluster.heartbeatReceived(
           heartbeat(
               "host-" + i,
--- a/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
+++ b/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
@@ -22,18 +22,18 @@
 /** One leader's cluster on a manual clock, and what its tests have in common. */
 abstract class ClusterTestBase {
   static final long TERM = 5;
-  static final long KEY = 100;
+  static final long TERM_VERSION = 100;
   static final TaskId TASK = new TaskId("wk-1", 0);
   final ManualEventLoop loop = new ManualEventLoop();
-  final Cluster cluster = new Cluster(loop, TestData.settings(), TERM, KEY);
+  final Cluster cluster = new Cluster(loop, TestData.settings(), TERM, TERM_VERSION);
   long sequence;
 
   @BeforeEach
-  void types() {
+  void setMachineTypes() {
     cluster.machineTypes(TestData.TYPES);
   }
 
-  void job(long version) {
+  void addJob(long version) {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 1, 4),
         version,
@@ -42,7 +42,7 @@
         Integer.MAX_VALUE);
   }
 
-  Machine up(String id) {
+  Machine addUpMachine(String id) {
     Machine machine =
         Objects.requireNonNull(cluster.heartbeatReceived(heartbeat(id, 1, ++sequence, TERM)));
     cluster.registry().markRegistered(List.of(machine));
@@ -64,7 +64,7 @@
     return Objects.requireNonNull(cluster.nextBatch(machine), machine.id());
   }
 
-  boolean placeable() {
+  boolean hasPlaceableJob() {
     return !cluster.view().pendingJobs(true).isEmpty();
   }
 
@@ -89,13 +89,13 @@
   }
 
   /** Which tasks a plan places, by their index. */
-  static String placed(SchedulingPlan plan) {
+  static String placedIndexes(SchedulingPlan plan) {
     return plan.placements().stream()
         .map(p -> "" + p.task().index())
         .collect(Collectors.joining(" "));
   }
 
-  static List<Command.Action> ops(List<Command> commands) {
+  static List<Command.Action> actions(List<Command> commands) {
     return commands.stream().map(Command::action).toList();
   }
 }
--- a/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
+++ b/src/test/java/org/saffronshore/cluster/EpochAndZoneTest.java
@@ -38,7 +38,7 @@
     cluster.batchCompleted(
         nextBatch(machine), DeliveryOutcome.EXECUTED, heartbeat("host-1", 1, ++sequence, TERM));
     cluster.registry().markRegistered(List.of(machine));
-    job(KEY + 1);
+    addJob(TERM_VERSION + 1);
     loop.pass(TestData.LEASE_S * 0.7);
     cluster.directStatusReceived(
         machine,
@@ -48,10 +48,10 @@
             ++sequence,
             TERM,
             taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     loop.pass(TestData.LEASE_S * leasesLater);
     cluster.expireLeases();
-    assertEquals(placeable, placeable());
+    assertEquals(placeable, hasPlaceableJob());
   }
 
   /**
@@ -60,7 +60,7 @@
    */
   @Test
   void machineThatOnlyRespondsToCommandsIsNotSchedulable() {
-    Machine machine = up("host-1");
+    Machine machine = addUpMachine("host-1");
     for (int i = 0; i < 6; i++) {
       loop.pass(TestData.settings().heartbeatIntervalS() / 2);
       cluster.directStatusReceived(machine, heartbeat("host-1", 1, ++sequence, TERM));
@@ -78,13 +78,13 @@
   void jobWithZoneConstraintWaitsForUnreconciledMachinesThatMayRunIt(
       boolean oneZone, boolean spread, boolean placeable) {
     cluster.addRegistered("host-1", 90, null);
-    up("host-2");
+    addUpMachine("host-2");
     boundToZones(oneZone, spread, 2);
-    assertEquals(placeable, placeable(), "its last two tasks were never launched");
+    assertEquals(placeable, hasPlaceableJob(), "its last two tasks were never launched");
     loop.pass(TestData.LEASE_S * 1.1);
-    up("host-2");
+    addUpMachine("host-2");
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -104,7 +104,7 @@
     Set<TaskId> possibleTasks =
         possibleOnThird.isEmpty() ? null : Set.of(new TaskId(possibleOnThird.substring(0, 4), 0));
     cluster.addRegistered("host-3", 90, possibleTasks);
-    up("host-2");
+    addUpMachine("host-2");
     boundToZones(oneZone, false, 1);
     cluster.heartbeatReceived(
         heartbeat(
@@ -113,7 +113,7 @@
             ++sequence,
             TERM - 1,
             taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-    assertEquals(placeable, placeable(), "its other tasks were never launched");
+    assertEquals(placeable, hasPlaceableJob(), "its other tasks were never launched");
     cluster.heartbeatReceived(
         heartbeat(
             "host-1",
@@ -121,7 +121,7 @@
             ++sequence,
             TERM,
             taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-    assertTrue(placeable(), "the task is there, and so nowhere else");
+    assertTrue(hasPlaceableJob(), "the task is there, and so nowhere else");
   }
 
   private void boundToZones(boolean oneZone, boolean spread, int launchWatermark) {
@@ -142,12 +142,12 @@
   void jobBackoffIsNeverLongerThanALease() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 40, 1),
-        KEY + 1,
+        TERM_VERSION + 1,
         0,
         new BitSet(),
         Integer.MAX_VALUE);
     for (int i = 0; i < 20; i++) {
-      up("host-" + i);
+      addUpMachine("host-" + i);
       cluster.heartbeatReceived(
           heartbeat(
               "host-" + i,
@@ -163,8 +163,8 @@
               TERM,
               taskStatus("wk-1", i, 7, TaskState.EXITED, ExitReason.FAILED)));
     }
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     loop.pass(TestData.LEASE_S + 0.1);
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -30,21 +30,21 @@
 class FailoverTest extends ClusterTestBase {
   @ParameterizedTest
   @CsvSource({"99, false", "101, true"})
-  void olderJobWaitsForUnreconciledMachinesAndNewerOneDoesNot(long version, boolean placeable) {
+  void onlyJobOlderThanTermWaitsForUnreconciledMachines(long version, boolean placeable) {
     cluster.addRegistered("host-1", 0, null);
-    job(version);
-    assertEquals(placeable, placeable());
+    addJob(version);
+    assertEquals(placeable, hasPlaceableJob());
   }
 
   @Test
   void machineIsReconciledOnceItShowsTheFencingToken() {
     cluster.addRegistered("host-1", 0, null);
-    job(1);
+    addJob(1);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 1, TERM - 1));
-    assertFalse(placeable(), "a launch of the last leader may still arrive there");
+    assertFalse(hasPlaceableJob(), "a launch of the last leader may still arrive there");
     assertNotNull(cluster.nextBatch(machine("host-1")), "it is sent the token at once");
     cluster.heartbeatReceived(heartbeat("host-1", 1, 2, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -54,7 +54,7 @@
   @Test
   void registeredMachineIsSentAnEmptyBatchBeforeItsFirstHeartbeat() {
     cluster.addRegistered("host-1", 0, null);
-    job(1);
+    addJob(1);
     Machine machine = machine("host-1");
     assertNull(cluster.nextBatch(machine), "its address is not known");
     cluster.machineListed(
@@ -65,12 +65,12 @@
     assertTrue(guess.commands().isEmpty());
     cluster.batchCompleted(
         guess, DeliveryOutcome.NOT_EXECUTED, heartbeat("host-1", 3, ++sequence, TERM - 1));
-    assertFalse(placeable(), "a launch of the last leader may still arrive there");
+    assertFalse(hasPlaceableJob(), "a launch of the last leader may still arrive there");
     CommandBatch right = nextBatch(machine);
     assertEquals(3, right.epoch());
     cluster.batchCompleted(
         right, DeliveryOutcome.EXECUTED, heartbeat("host-1", 3, ++sequence, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     assertNull(cluster.nextBatch(machine));
     loop.pass(TestData.LEASE_S + 1);
     cluster.expireLeases();
@@ -83,12 +83,13 @@
    */
   @ParameterizedTest
   @CsvSource({"0, 0 1 2", "2, 2", "3, ''"})
-  void tasksFromTheLaunchWatermarkOnWaitForNoMachine(int launchWatermark, String placeable) {
+  void tasksFromLaunchWatermarkOnDoNotWaitForUnreconciledMachines(
+      int launchWatermark, String placeable) {
     cluster.addRegistered("host-1", 0, null);
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), 1, 0, new BitSet(), launchWatermark);
-    up("host-2");
-    assertEquals(placeable, placed(plan(teams())));
+    addUpMachine("host-2");
+    assertEquals(placeable, placedIndexes(plan(teams())));
   }
 
   /**
@@ -98,8 +99,8 @@
   @Test
   void taskIsLaunchedOnlyOnceItsLaunchWatermarkIsSaved() {
     cluster.addJob(
-        TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), KEY + 1, 0, new BitSet(), 0);
-    Machine machine = up("host-1");
+        TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), TERM_VERSION + 1, 0, new BitSet(), 0);
+    Machine machine = addUpMachine("host-1");
     assertTrue(cluster.view().pendingJobs(false).isEmpty(), "the watermark cannot be written now");
     cluster.place(TASK, "host-1");
     cluster.retryCommands();
@@ -109,7 +110,7 @@
     assertEquals(1, job.requestedLaunchWatermark());
     cluster.launchWatermarkSaved(job, 1);
     assertTrue(cluster.jobsAwaitingLaunchWatermark().isEmpty());
-    assertEquals(List.of(Command.Action.LAUNCH), ops(nextBatch(machine).commands()));
+    assertEquals(List.of(Command.Action.LAUNCH), actions(nextBatch(machine).commands()));
     cluster.place(new TaskId("wk-1", 1), "host-1");
     assertEquals(2, job.requestedLaunchWatermark());
     assertNull(cluster.nextBatch(machine));
@@ -129,19 +130,19 @@
         0,
         new BitSet(),
         Integer.MAX_VALUE);
-    Machine machine = up("host-2");
+    Machine machine = addUpMachine("host-2");
     cluster.registry().markRegistered(List.of(machine));
     SchedulingPlan plan = plan(teams());
-    assertEquals(placeable, placed(plan));
+    assertEquals(placeable, placedIndexes(plan));
     cluster.addRegistered("host-3", 0, null);
-    assertFalse(placeable(), "that one may hold anything");
+    assertFalse(hasPlaceableJob(), "that one may hold anything");
   }
 
   /** Once what it holds is being written, nothing may be added until another entry is confirmed. */
   @Test
   void cordonedMachineIsSchedulableOnlyOnceItsNewEntryIsConfirmed() {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     loop.pass(5);
     cluster.registry().cordonSilent();
     assertEquals(List.of(machine), cluster.registry().takeCordonedMachines());
@@ -156,15 +157,15 @@
   }
 
   @Test
-  void olderJobWaitsForUnheardMachineUntilItsLeaseMustHaveExpired() {
+  void olderJobWaitsForSilentMachineUntilItsLeaseMustHaveExpired() {
     cluster.addRegistered("host-1", 0, null);
-    job(1);
+    addJob(1);
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
-    assertFalse(placeable(), "its clock may run slow");
+    assertFalse(hasPlaceableJob(), "its clock may run slow");
     loop.pass(1);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -173,41 +174,41 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "60, true"})
-  void longKnownMachineIsRemovedByTheFirstListThatLacksIt(double age, boolean placeable) {
+  void machineKnownLongEnoughIsRemovedByFirstListThatLacksIt(double age, boolean placeable) {
     cluster.addRegistered("host-1", age, null);
-    job(1);
+    addJob(1);
     cluster.removeUnlisted(Set.of(), loop.now());
-    assertEquals(placeable, placeable());
+    assertEquals(placeable, hasPlaceableJob());
   }
 
   @Test
   void runningTaskOfEarlierTermIsAdopted() {
     cluster.addRegistered("host-1", 0, null);
-    job(1);
+    addJob(1);
     cluster.heartbeatReceived(
         heartbeat(
             "host-1", 1, 1, TERM, taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
   @Test
-  void taskOfNoOpenJobIsStopped() {
-    Machine machine = up("host-1");
+  void taskWithoutOpenJobIsStopped() {
+    Machine machine = addUpMachine("host-1");
     cluster.heartbeatReceived(
         heartbeat(
             "host-1", 1, 9, TERM, taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    assertEquals(List.of(Command.Action.STOP), ops(nextBatch(machine).commands()));
+    assertEquals(List.of(Command.Action.STOP), actions(nextBatch(machine).commands()));
   }
 
   @Test
-  void possibleTasksCountAgainstTheLimit() {
+  void possibleTasksCountAgainstTeamLimit() {
     cluster.addRegistered("host-1", 0, null);
-    job(1);
+    addJob(1);
     Map<String, Team> teams = teams();
     var more = TestData.job("wk-2", "red", Priority.STANDARD, 1, 62);
-    cluster.addJob(more, KEY + 1, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine machine = up("host-2");
+    cluster.addJob(more, TERM_VERSION + 1, 0, new BitSet(), Integer.MAX_VALUE);
+    Machine machine = addUpMachine("host-2");
     SchedulingPlan plan = plan(teams);
     assertTrue(
         plan.placements().isEmpty() && plan.unplaced().isEmpty(),
@@ -222,8 +223,8 @@
    */
   @ParameterizedTest
   @CsvSource({"possible anywhere, 0", "possible, 0", "of an open job, 1", "shown, 0", "nowhere, 1"})
-  void possibleTasksOfUnknownJobsCountAgainstEveryLimit(String what, int placed) {
-    Machine machine = up("host-1");
+  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(String what, int placed) {
+    Machine machine = addUpMachine("host-1");
     cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
     if (what.equals("possible anywhere")) {
       cluster.addRegistered("host-2", 0, null);
@@ -237,7 +238,11 @@
     }
     cluster.addJob(TestData.job("wk-8", "free", Priority.STANDARD, 1, 32), 1, 0, new BitSet(), 1);
     cluster.addJob(
-        TestData.job("wk-2", "red", Priority.STANDARD, 1, 62 - 29), KEY + 1, 0, new BitSet(), 1);
+        TestData.job("wk-2", "red", Priority.STANDARD, 1, 62 - 29),
+        TERM_VERSION + 1,
+        0,
+        new BitSet(),
+        1);
     cluster.machineTypes(
         Map.of(
             "big",
@@ -262,7 +267,7 @@
    */
   @ParameterizedTest
   @CsvSource({"'', 0", "host-1, 0", "host-2, 1"})
-  void jobsCancelledDuringFailoverCountBesideOpenOnes(String reconciled, int placed) {
+  void tasksOfJobCancelledDuringFailoverCountInAdditionToOpenJobs(String reconciled, int placed) {
     cluster.addRegistered("host-1", 0, Set.of(new TaskId("wk-1", 0)));
     cluster.addRegistered("host-2", 0, Set.of(new TaskId("wk-2", 0)));
     cluster.machineListed(new ListedMachine("host-1", null, "big", "a", true, false, 90));
@@ -271,9 +276,10 @@
       cluster.addJob(TestData.job(id, "red", Priority.STANDARD, 1, 30), 1, 0, new BitSet(), 1);
     }
     cluster.addJob(
-        TestData.job("wk-3", "red", Priority.STANDARD, 1, 8), KEY + 1, 0, new BitSet(), 1);
-    up("host-3");
-    assertEquals("", placed(plan(teams())), "two tasks of 30 CPUs, and 8 more, are beyond 64");
+        TestData.job("wk-3", "red", Priority.STANDARD, 1, 8), TERM_VERSION + 1, 0, new BitSet(), 1);
+    addUpMachine("host-3");
+    assertEquals(
+        "", placedIndexes(plan(teams())), "two tasks of 30 CPUs, and 8 more, are beyond 64");
     cluster.removeJob("wk-2");
     if (reconciled.equals("host-1")) {
       cluster.heartbeatReceived(
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -29,7 +29,7 @@
     cluster.heartbeatReceived(heartbeat("host-1", 2, 1, TERM));
     Machine machine = machine("host-1");
     cluster.registry().markRegistered(List.of(machine));
-    job(101);
+    addJob(101);
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running =
         taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
@@ -47,16 +47,16 @@
                 taskStatus("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
     assertEquals(1, openJob("wk-1").runningTaskCount());
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     assertEquals(2, machine.epochs().epoch());
     assertTrue(machine.hasPreemptionNotice(), "a notice is not undone");
   }
 
   /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
   @Test
-  void copiesOfHeartbeatDoNotExtendTheLeaseOfLostMachine() {
-    Machine machine = up("host-1");
-    job(101);
+  void copiesOfHeartbeatDoNotExtendLeaseOfLostMachine() {
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat last =
         heartbeat(
@@ -70,14 +70,14 @@
       loop.pass(1);
       cluster.heartbeatReceived(last);
       cluster.expireLeases();
-      assertFalse(placeable(), "its lease may run");
+      assertFalse(hasPlaceableJob(), "its lease may run");
     }
     loop.pass(1);
     cluster.heartbeatReceived(last);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     cluster.heartbeatReceived(last);
-    assertTrue(placeable(), "a copy over a lease old brings nothing back");
+    assertTrue(hasPlaceableJob(), "a copy over a lease old brings nothing back");
     assertFalse(machine.isSchedulable(loop.now()));
     assertEquals(0, cluster.view().schedulableMachines().size());
   }
@@ -87,9 +87,9 @@
    * was sent.
    */
   @Test
-  void lateHeartbeatRenewsTheLeaseFromWhenItWasSent() {
-    Machine machine = up("host-1");
-    job(101);
+  void lateHeartbeatRenewsLeaseFromSendTime() {
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     Heartbeat.TaskStatus running =
@@ -99,15 +99,15 @@
     loop.pass(2);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 59, TERM));
     cluster.expireLeases();
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     loop.pass(TestData.LEASE_S + 1);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   @Test
-  void copyOfHeartbeatDoesNotBringRemovedMachineBack() {
-    Machine machine = up("host-1");
+  void copyOfHeartbeatDoesNotAddRemovedMachineAgain() {
+    Machine machine = addUpMachine("host-1");
     cluster.machineRemoved(machine, "returned");
     assertNull(cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)));
     assertNull(cluster.machine("host-1"));
@@ -117,7 +117,7 @@
    * After a failover nothing newer is known: a copy of long ago must not count as free capacity.
    */
   @Test
-  void machineKnownByOldHeartbeatOnlyIsNoCapacity() {
+  void machineKnownOnlyByOldHeartbeatDoesNotCountAsCapacity() {
     cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM - 2));
     assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
@@ -134,7 +134,7 @@
   void copyOfHeartbeatDoesNotStopTaskOnReconciledMachine() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
-    job(1);
+    addJob(1);
     Heartbeat.TaskStatus old = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
     Heartbeat.TaskStatus now = taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, old));
@@ -142,7 +142,7 @@
     Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().stopping());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 90, TERM));
-    assertFalse(placeable(), "it runs on host-2");
+    assertFalse(hasPlaceableJob(), "it runs on host-2");
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
@@ -151,7 +151,7 @@
   void taskOnTwoMachinesIsStoppedOnOneAndPlaceableWhenOnNeither() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
-    job(1);
+    addJob(1);
     cluster.heartbeatReceived(
         heartbeat(
             "host-1", 1, 5, TERM, taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
@@ -166,8 +166,8 @@
             .filter(machine -> machine.attempts().iterator().next().stopping())
             .count());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 6, TERM));
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     cluster.heartbeatReceived(heartbeat("host-2", 1, 6, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -26,10 +26,10 @@
   @CsvSource({"EXECUTED, false", "NOT_EXECUTED, true", "UNKNOWN, false"})
   void taskIsPlaceableAgainOnlyWhenItsLaunchCannotArrive(
       DeliveryOutcome outcome, boolean placeable) {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
-    assertEquals(List.of(Command.Action.LAUNCH), ops(batch.commands()));
+    assertEquals(List.of(Command.Action.LAUNCH), actions(batch.commands()));
     Heartbeat status =
         switch (outcome) {
           case EXECUTED ->
@@ -48,7 +48,7 @@
           case UNKNOWN -> null;
         };
     cluster.batchCompleted(batch, outcome, status);
-    assertEquals(placeable, placeable());
+    assertEquals(placeable, hasPlaceableJob());
     cluster.heartbeatReceived(
         heartbeat(
             "host-1",
@@ -60,17 +60,17 @@
                 : new Heartbeat.TaskStatus[0]));
     assertEquals(
         placeable,
-        placeable(),
+        hasPlaceableJob(),
         "a heartbeat without the task proves nothing while the launch may arrive");
   }
 
   @Test
   void newEpochEndsAttemptWhoseLaunchWasLost() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     cluster.batchCompleted(launch(machine), DeliveryOutcome.UNKNOWN, null);
     cluster.heartbeatReceived(heartbeat("host-1", 2, 60, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -79,29 +79,29 @@
    */
   @Test
   void lostLaunchOfCancelledJobIsRepeatedWithStop() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     cluster.removeJob("wk-1");
     loop.pass(5);
     assertEquals(
         List.of(Command.Action.LAUNCH, Command.Action.STOP),
-        ops(cluster.responseCommands(machine)));
+        actions(cluster.responseCommands(machine)));
   }
 
   @Test
   void exitedAttemptIsNotReapedWhileItsLaunchMayArrive() {
-    job(101);
-    Machine machine = up("host-1");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     Heartbeat.TaskStatus ended =
         taskStatus(
             "wk-1", 0, batch.launches().get(0).number(), TaskState.EXITED, ExitReason.FAILED);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, ended));
-    assertTrue(placeable(), "it is over there");
-    assertFalse(ops(cluster.responseCommands(machine)).contains(Command.Action.REAP));
+    assertTrue(hasPlaceableJob(), "it is over there");
+    assertFalse(actions(cluster.responseCommands(machine)).contains(Command.Action.REAP));
     assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
   }
 
@@ -109,7 +109,7 @@
   @ParameterizedTest
   @CsvSource({"false, 1", "true, 0"})
   void overdueTaskIsNotPreempted(boolean overdue, int stops) {
-    Machine machine = up("host-1");
+    Machine machine = addUpMachine("host-1");
     cluster.addJob(
         TestData.job("wk-1", "free", Priority.STANDARD, 1, 32),
         101,
@@ -130,13 +130,13 @@
   /** Tasks that are put on a machine that hangs are lost time, for as long as its lease. */
   @Test
   void silentMachineIsNotSchedulable() {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     loop.pass(3 * 2.2 + 0.1);
     assertEquals(0, cluster.view().schedulableMachines().size());
     cluster.place(TASK, machine.id());
-    assertTrue(placeable());
-    up("host-1");
+    assertTrue(hasPlaceableJob());
+    addUpMachine("host-1");
     assertEquals(1, cluster.view().schedulableMachines().size());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
+++ b/src/test/java/org/saffronshore/cluster/MachineRemovalTest.java
@@ -34,7 +34,7 @@
             .checkpoints(supportsCheckpoints ? 10 : 0, supportsCheckpoints ? 2 : 0)
             .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine machine = up("host-1");
+    Machine machine = addUpMachine("host-1");
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running =
         taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
@@ -56,7 +56,7 @@
             .checkpoints(10, 2)
             .build();
     cluster.addJob(job, 101, 0, new BitSet(), Integer.MAX_VALUE);
-    Machine machine = up("host-1");
+    Machine machine = addUpMachine("host-1");
     long attempt = launch(machine).launches().get(0).number();
     cluster.heartbeatReceived(
         heartbeat(
@@ -77,6 +77,6 @@
     assertTrue(cluster.view().isMovable(machine, 10));
     cluster.drain(machine);
     assertTrue(machine.isDraining() && !machine.isSchedulable(loop.now()));
-    assertFalse(placeable(), "it is there until it has saved");
+    assertFalse(hasPlaceableJob(), "it is there until it has saved");
   }
 }
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -25,7 +25,7 @@
 class QuotaAccountingTest extends ClusterTestBase {
   private static final double LIMIT_CPUS = 64;
 
-  private void registered(String id, String tasks) {
+  private void addRegistered(String id, String tasks) {
     Set<TaskId> possibleTasks = null;
     if (!tasks.equals("anything")) {
       possibleTasks = new HashSet<>();
@@ -37,11 +37,11 @@
     cluster.machineListed(new ListedMachine(id, null, "big", "a", true, false, 90));
   }
 
-  private QuotaUsage.Amounts counted() {
+  private QuotaUsage.Amounts countedCpus() {
     return Objects.requireNonNull(teams().get("red")).quotaUsage().cpus();
   }
 
-  private void apply(String event) {
+  private void applyEvent(String event) {
     switch (event) {
       case "wk-1 is cancelled" -> cluster.removeJob("wk-1");
       case "wk-1 completes" -> {
@@ -104,20 +104,21 @@
     "anything, anything, nothing, 0, 8, 56",
     "anything, anything, wk-1 is cancelled, 0, 4, 60",
   })
-  void usageIsTheSumOfWhatEachMachineMayHold(
+  void usageIsSumOverMachinesOfWhatEachMayHold(
       String first,
       String second,
       String event,
       double launched,
       double possible,
       double possiblyHeld) {
-    registered("host-1", first);
-    registered("host-2", second);
-    open("wk-1");
-    open("wk-2");
-    apply(event);
+    addRegistered("host-1", first);
+    addRegistered("host-2", second);
+    addOpenJob("wk-1");
+    addOpenJob("wk-2");
+    applyEvent(event);
     assertEquals(
-        new QuotaUsage.Amounts(launched, launched, possible, possiblyHeld, LIMIT_CPUS), counted());
+        new QuotaUsage.Amounts(launched, launched, possible, possiblyHeld, LIMIT_CPUS),
+        countedCpus());
   }
 
   /**
@@ -126,17 +127,17 @@
    */
   @ParameterizedTest
   @CsvSource({"nothing, 4", "wk-1 is cancelled, 4"})
-  void oldHeartbeatTakesNothingFromRegistryEntry(String event, double counted) {
-    registered("host-1", "wk-1/0");
-    registered("host-3", "wk-2/0");
-    open("wk-1");
-    apply("an old heartbeat of host-3 shows wk-1/0");
-    apply(event);
-    apply("host-3 holds nothing");
-    assertEquals(counted, counted().counted());
+  void oldHeartbeatDoesNotReduceUsageOfRegistryEntry(String event, double counted) {
+    addRegistered("host-1", "wk-1/0");
+    addRegistered("host-3", "wk-2/0");
+    addOpenJob("wk-1");
+    applyEvent("an old heartbeat of host-3 shows wk-1/0");
+    applyEvent(event);
+    applyEvent("host-3 holds nothing");
+    assertEquals(counted, countedCpus().counted());
   }
 
-  private void open(String id) {
+  private void addOpenJob(String id) {
     cluster.addJob(TestData.job(id, "red", Priority.STANDARD, 2, 4), 1, 0, new BitSet(), 1);
   }
 }
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -36,8 +36,8 @@
   })
   void unresponsiveMachineIsNotSchedulableAndIsReturned(
       String what, boolean usable, boolean returned) {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     long epoch = 1;
     if (what.startsWith("launch")) {
       CommandBatch batch = lostLaunch(machine);
@@ -86,9 +86,9 @@
   @CsvSource({"true, true", "false, false"})
   void pauseOfThisControllerMakesNoMachineSilentOrUnresponsive(
       boolean pauseDetected, boolean usable) {
-    job(101);
-    Machine machine = up("host-1");
-    Machine other = up("host-2");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
+    Machine other = addUpMachine("host-2");
     CommandBatch batch = launch(other);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     loop.standStill(10);
@@ -116,7 +116,7 @@
   @Test
   void olderJobWaitsForMachineThatNeverReconcilesUntilItIsRemoved() {
     cluster.addRegistered("host-1", 60, null);
-    job(1);
+    addJob(1);
     for (int i = 0; i < 8; i++) {
       cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM - 1));
       cluster.unresponsiveMachines().detect();
@@ -124,10 +124,11 @@
     }
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM - 1));
     assertFalse(
-        placeable(), "a launch of an earlier leader, which knew this epoch, may still arrive");
+        hasPlaceableJob(),
+        "a launch of an earlier leader, which knew this epoch, may still arrive");
     assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
     cluster.machineRemoved(machine("host-1"), "returned");
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -136,13 +137,13 @@
    */
   @Test
   void newEpochOfUnresponsiveMachineFreesItsLaunchedTasks() {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     lostLaunch(machine);
     cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
-    assertFalse(placeable(), "the launch may yet arrive");
+    assertFalse(hasPlaceableJob(), "the launch may yet arrive");
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     assertFalse(machine.isSchedulable(loop.now()), "but not there");
   }
 
@@ -151,7 +152,7 @@
   void noMachineIsUnusableWhenManySeemUnresponsive() {
     List<Machine> all = new java.util.ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(up("host-" + i));
+      all.add(addUpMachine("host-" + i));
     }
     for (Machine machine : all) {
       cluster.heartbeatReceived(heartbeat(machine.id(), 2, ++sequence, TERM));
