--- a/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings what a worker's message says of its machine into the cluster: lease, epoch, preemption
- * notice and fencing token. Its tasks are left to {@link TaskStatusReconciler}.
+ * Applies a worker's messages to the state of its machine: lease, epoch, preemption notice and
+ * fencing token. The tasks in a message are applied by {@link TaskStatusReconciler}.
  */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
@@ -25,7 +25,7 @@
   private final UnresponsiveMachineDetector unresponsiveMachines;
   private final CommandQueue commandQueue;
 
-  /** What to do when something has happened that may let a task be placed. */
+  /** Called after every change that may allow a task to be placed. */
   private final Runnable onChange;
 
   HeartbeatReconciler(
@@ -54,9 +54,10 @@
   }
 
   /**
-   * Takes a heartbeat that the worker sent by itself, and the response to which renews its lease.
+   * Applies a heartbeat that the worker sent on its own initiative. The response to it renews the
+   * worker's lease.
    *
-   * @return the machine, or null when it was removed
+   * @return the machine, or null if it has been removed
    */
   @Nullable Machine heartbeatReceived(Heartbeat heartbeat) {
     if (machines.isRemoved(heartbeat.machine())) {
@@ -74,14 +75,17 @@
     return machine;
   }
 
-  /** Takes the status in a worker's response to a direct command, which renews no lease. */
+  /**
+   * Applies the status in a worker's response to a direct command. Unlike a heartbeat, the exchange
+   * does not renew the worker's lease.
+   */
   void directStatusReceived(Machine machine, Heartbeat status) {
     if (!machines.contains(machine)) {
       return;
     }
-    // A worker that reaches no controller still responds to commands. That does not make it one to
-    // rely on: its lease runs out. So only the first status counts, of a machine that is about to
-    // find this leader.
+    // A worker that cannot reach any controller still responds to commands, but its lease will
+    // expire, so its responses must not end its silence. Only the first status of a machine that
+    // was never heard in this term counts: such a machine is about to find this leader.
     if (!machine.health().wasEverHeard()) {
       machine.health().countSilenceFrom(loop.now());
     }
@@ -100,29 +104,29 @@
     if (!machine.isUp()) {
       markUp(machine);
     }
-    boolean noticedNow = recordPreemptionNotice(machine, heartbeat.preemptionNoticeS());
-    boolean reconciledNow = !machine.isReconciled() && heartbeat.fencingToken() >= term;
-    if (reconciledNow) {
+    boolean firstNotice = recordPreemptionNotice(machine, heartbeat.preemptionNoticeS());
+    boolean newlyReconciled = !machine.isReconciled() && heartbeat.fencingToken() >= term;
+    if (newlyReconciled) {
       unresponsiveMachines.markResponsive(machine);
     }
-    if ((machine.isReconciled() || reconciledNow) && !machine.registryEntry().isRegistered()) {
+    if ((machine.isReconciled() || newlyReconciled) && !machine.registryEntry().isRegistered()) {
       registry.register(machine);
     }
-    // Most heartbeats say nothing new, and there are hundreds in a second.
-    if (reconciledNow || noticedNow || !machine.tasks().isUpToDateWith(heartbeat.tasks())) {
-      applyChanges(machine, heartbeat, noticedNow, reconciledNow);
+    // Most of the hundreds of heartbeats per second contain no changes, so skip those.
+    if (newlyReconciled || firstNotice || !machine.tasks().isUpToDateWith(heartbeat.tasks())) {
+      applyChanges(machine, heartbeat, firstNotice, newlyReconciled);
     }
     commandQueue.markDueIfHasCommands(machine);
   }
 
   private void applyChanges(
-      Machine machine, Heartbeat heartbeat, boolean noticedNow, boolean reconciledNow) {
+      Machine machine, Heartbeat heartbeat, boolean firstNotice, boolean newlyReconciled) {
     taskStatuses.apply(machine, heartbeat.tasks());
     Double noticeS = heartbeat.preemptionNoticeS();
-    if (noticedNow && noticeS != null) {
+    if (firstNotice && noticeS != null) {
       attempts.handlePreemptionNotice(machine, noticeS);
     }
-    if (reconciledNow) {
+    if (newlyReconciled) {
       reconcile(machine, heartbeat);
     }
     if (machine.isReconciled()) {
@@ -131,7 +135,10 @@
     machine.tasks().updateIdleSince(loop.now());
   }
 
-  /** The machine knows this term: what it shows is all that it holds. */
+  /**
+   * Marks the machine as reconciled: it has shown the fencing token of this term, so the tasks in
+   * its heartbeat are all that it holds.
+   */
   private void reconcile(Machine machine, Heartbeat heartbeat) {
     LOG.debug(
         "Machine reconciled: machine={} term={} epoch={} sequence={} tasks={}",
@@ -145,7 +152,7 @@
     onChange.run();
   }
 
-  /** Everything that the machine held in an earlier epoch is not there any more. */
+  /** Begins a new worker epoch: nothing that the machine held in an earlier epoch still exists. */
   private void beginEpoch(Machine machine, long epoch) {
     double now = loop.now();
     boolean hadEpoch = machine.epochs().epoch() > 0;
@@ -158,15 +165,16 @@
     }
     machine.tasks().attemptsCopy().forEach(attempts::end);
     machine.clearExited();
-    // Its lease ran out although its heartbeats were responded to: it may receive nothing.
+    // The worker began a new epoch, so its lease expired, although a response that should have
+    // renewed it was sent recently. The machine may be receiving no messages at all.
     double leaseRanUntil =
         machine.lease().previouslyRenewedAt() + Settings.minLocalDuration(settings.workerLeaseS());
     if (hadEpoch && now < leaseRanUntil && !machine.health().isUnresponsive()) {
       unresponsiveMachines.markUnresponsive(machine);
     }
     machine.epochs().begin(epoch);
-    // Whatever renewed its lease last, an epoch that is new here may have begun a moment ago, with
-    // a lease of its own from then on.
+    // Regardless of when the lease was last renewed: an epoch that is new to this leader may have
+    // begun a moment ago, and its lease runs from then.
     machine.lease().mayBeRenewedAt(now);
   }
 
@@ -183,7 +191,12 @@
         machine.isSpot());
   }
 
-  /** Takes a notice that the cloud will take the machine back; true when it is the first one. */
+  /**
+   * Records a notice that the cloud will reclaim the machine.
+   *
+   * @param noticeS seconds until the machine is reclaimed, or null if there is no notice
+   * @return whether this is the first notice for the machine
+   */
   private boolean recordPreemptionNotice(Machine machine, @Nullable Double noticeS) {
     if (noticeS == null) {
       return false;
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -13,19 +13,21 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What each team may be using: the one place that says so, for everything that starts a task.
+ * Computes how much each team may be using. Everything that starts a task relies on this single
+ * computation.
  *
- * <p>Invariant: what counts against a team's limit is at no moment less than what its tasks take on
- * all machines, launches in flight included. To keep it, every machine is counted by itself and the
- * machines are added up; what may be on one machine never stands for what may be on another one:
+ * <p>Invariant: the amount counted against a team's limit is never less than what the team's tasks
+ * use on all machines, launches in flight included. To ensure this, each machine is counted
+ * separately and the results are added up. What may be on one machine is never assumed to cover
+ * what may be on another:
  *
  * <ul>
- *   <li>a task that a heartbeat has shown, or that this term launches, counts for its team;
- *   <li>of an unreconciled machine whose registry entry names its possible tasks, these count for
- *       their teams, also when their job was cancelled meanwhile;
- *   <li>where a task is of a job that was over before this term began, nobody knows its team or its
- *       size: what the machine has beside its known tasks counts for every team;
- *   <li>an unreconciled machine that may hold anything counts for every team.
+ *   <li>A task that a heartbeat has shown, or that this term launches, counts for its team.
+ *   <li>If the registry entry of an unreconciled machine names its possible tasks, these count for
+ *       their teams, even if their job has been cancelled in the meantime.
+ *   <li>If a task belongs to a job that ended before this term began, neither its team nor its size
+ *       is known. The capacity of its machine less the machine's known tasks counts for every team.
+ *   <li>The capacity of an unreconciled machine that may hold anything counts for every team.
  * </ul>
  */
 final class QuotaAccounting {
@@ -35,19 +37,22 @@
   private final Map<String, Team> teams;
   private final SchedulingSettings settings;
 
-  /** What tasks of unknown teams may take. */
+  /** The most that tasks of unknown teams may be using; counts for every team. */
   private final Resources unknownTeamUsage = zero();
 
-  /** All of the machines that may hold anything. */
+  /** The total capacity of the unreconciled machines that may hold anything. */
   private final Resources mayHoldAnythingCapacity = zero();
 
-  /** By team, possible tasks of open jobs that no heartbeat has shown and that are not finished. */
+  /**
+   * What possible tasks of open jobs may be using, by team. Includes only tasks that no heartbeat
+   * has shown and that are not finished.
+   */
   private final Map<String, Resources> possibleOpenJobUsage = new HashMap<>();
 
-  /** The same of jobs that ended in this term. */
+  /** What possible tasks of jobs that ended in this term may be using, by team. */
   private final Map<String, Resources> possibleEndedJobUsage = new HashMap<>();
 
-  /** Possible tasks that are counted already; two registry entries may name the same one. */
+  /** Possible tasks that are already counted; two registry entries may name the same task. */
   private final Set<TaskId> countedPossibleTasks = new HashSet<>();
 
   private QuotaAccounting(
@@ -63,7 +68,11 @@
     this.settings = tuning;
   }
 
-  /** Counts into the teams, which nothing was counted into before. */
+  /**
+   * Adds to each team what it may be using.
+   *
+   * @param teams the teams by name, to which no usage has been added yet
+   */
   static void count(
       JobTable jobs,
       MachineTable machines,
@@ -81,11 +90,11 @@
   }
 
   private void addAttempts(Machine machine) {
-    boolean allKnown = true;
+    boolean allSpecsKnown = true;
     for (Attempt attempt : machine.attempts()) {
       JobSpec job = attempt.job();
       if (job == null) {
-        allKnown = false;
+        allSpecsKnown = false;
         continue;
       }
       Team team = teams.get(job.team());
@@ -96,7 +105,7 @@
         }
       }
     }
-    if (!allKnown) {
+    if (!allSpecsKnown) {
       addUnknownTeamUsage(capacityBesideKnownAttempts(machine));
     }
   }
@@ -118,24 +127,25 @@
       mayHoldAnythingCapacity.add(remaining);
       return;
     }
-    boolean allKnown = true;
+    boolean allSpecsKnown = true;
     for (TaskId task : machine.possibleTasks().named()) {
       Job job = jobs.get(task.job());
       JobSpec spec = job != null ? job.spec() : machine.possibleTasks().specOfEndedJob(task);
       if (spec == null) {
-        allKnown = false;
+        allSpecsKnown = false;
         continue;
       }
       remaining.subtract(spec);
-      // One that is finished, or shown by another machine, is counted there if anywhere.
-      boolean mayBeHere = job == null || job.isWaiting(task.index());
-      if (mayBeHere && countedPossibleTasks.add(task)) {
+      // A task of an open job that is finished or that a heartbeat has shown is not waiting. If
+      // it still counts, it does so as an attempt of the machine that has shown it.
+      boolean mayRunHere = job == null || job.isWaiting(task.index());
+      if (mayRunHere && countedPossibleTasks.add(task)) {
         (job == null ? possibleEndedJobUsage : possibleOpenJobUsage)
             .computeIfAbsent(spec.team(), team -> zero())
             .add(spec);
       }
     }
-    if (!allKnown) {
+    if (!allSpecsKnown) {
       addUnknownTeamUsage(remaining);
     }
   }
@@ -145,7 +155,10 @@
         new Resources(Math.max(0, remaining.cpus), Math.max(0, remaining.gpus), 0));
   }
 
-  /** All that a machine has; of one whose type is not known, more than any type has. */
+  /**
+   * Returns the capacity of a machine. If its type is not known, returns the sum of the capacities
+   * of all types, which is at least the capacity of any of them.
+   */
   private Resources capacity(Machine machine) {
     MachineType knownType = machines.typeOf(machine);
     Resources capacity = zero();
@@ -157,17 +170,19 @@
   }
 
   /**
-   * Of what the machines that may hold anything can take, as much counts into a team's share as its
-   * open jobs may have launched; the rest counts against its limit only.
+   * Adds the totals to the teams. The capacity of the machines that may hold anything counts for
+   * every team. The part of it that may be used by tasks of the team's open jobs, launched by
+   * earlier leaders and named in no registry entry, counts towards the team's share and its limit;
+   * the rest counts against its limit only.
    */
   private void addTotalsToTeams() {
     Map<String, Resources> launchedNotNamed = launchedButNotNamed();
-    Resources none = zero();
+    Resources zero = zero();
     teams.forEach(
         (name, team) -> {
-          Resources open = possibleOpenJobUsage.getOrDefault(name, none);
-          Resources ended = possibleEndedJobUsage.getOrDefault(name, none);
-          Resources launched = launchedNotNamed.getOrDefault(name, none);
+          Resources open = possibleOpenJobUsage.getOrDefault(name, zero);
+          Resources ended = possibleEndedJobUsage.getOrDefault(name, zero);
+          Resources launched = launchedNotNamed.getOrDefault(name, zero);
           double cpus = Math.min(mayHoldAnythingCapacity.cpus, launched.cpus);
           double gpus = Math.min(mayHoldAnythingCapacity.gpus, launched.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
@@ -177,18 +192,21 @@
         });
   }
 
-  /** By team, what earlier leaders may have launched and no registry entry names. */
+  /**
+   * Returns, by team, what waiting tasks of open jobs may be using that earlier leaders may have
+   * launched and that no registry entry names.
+   */
   private Map<String, Resources> launchedButNotNamed() {
     Map<String, Integer> namedByJob = new HashMap<>();
     countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
     for (Job job : jobs.all()) {
       if (reconciliation.mayRunOnUnreconciled(job)) {
-        int unnamed =
+        int notNamed =
             job.waitingTasksLaunchedBefore().cardinality() - namedByJob.getOrDefault(job.id(), 0);
         launched
             .computeIfAbsent(job.spec().team(), team -> zero())
-            .add(job.spec(), Math.max(0, unnamed));
+            .add(job.spec(), Math.max(0, notNamed));
       }
     }
     return launched;
