--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -18,17 +18,17 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What one leader knows during its term: machines, jobs, and where every task is or may be. It is
- * made anew from the state service and from heartbeats in every term. A task counts as being on a
- * machine until there is proof that it is not and cannot come to be there: a newer heartbeat, a
- * newer epoch, a lease that must have run out, or the cloud's word that the machine does not exist
- * any more.
+ * The state of the cluster as known to one leader during its term: the machines, the jobs, and
+ * where each task is or may be. Every term rebuilds it from the state service and from heartbeats.
+ * A task counts as being on a machine until there is proof that it is not there and cannot start
+ * there: a newer heartbeat, a newer epoch, a lease that must have expired, or a statement of the
+ * cloud that the machine no longer exists.
  *
- * <p>This class builds the parts of one term and is their facade; each part is given only what it
- * uses. It belongs to the event loop's thread.
+ * <p>This class creates the components of one term and is their facade; each component receives
+ * only what it uses. It is confined to the event loop thread.
  */
 public final class Cluster {
-  /** The rate at which jobs come is taken over twice this share of a lease. */
+  /** Length of an arrival window in worker leases; the arrival rate is taken over two windows. */
   private static final double ARRIVAL_WINDOW_LEASES = 0.5;
 
   private final long term;
@@ -48,13 +48,13 @@
   private final CommandDispatcher dispatcher;
   private final ClusterView view;
 
-  /** Whether something has happened that may let a task be placed. */
+  /** Whether there has been a change since the last check that may allow a task to be placed. */
   private boolean changed;
 
   /**
-   * Starts a term with nothing known.
+   * Creates the cluster at the start of a term, without machines or jobs.
    *
-   * @param termVersion version of the leader's key, with which the term began
+   * @param termVersion the version of the leader's key in the state service when the term began
    */
   public Cluster(EventLoop loop, Settings settings, long term, long termVersion) {
     Runnable onChange = () -> changed = true;
@@ -121,51 +121,56 @@
     return startedAt;
   }
 
-  /** Whether anything happened since this was last asked that may let a task be placed. */
+  /**
+   * Returns whether there has been a change since the last call that may allow a task to be placed,
+   * and resets this state.
+   */
   public boolean consumeChanged() {
-    boolean was = changed;
+    boolean wasChanged = changed;
     changed = false;
-    return was;
+    return wasChanged;
   }
 
-  /** The cluster as the scheduling cycle and the autoscaler look at it. */
+  /** Returns the read-only view that the scheduling cycle and the autoscaler use. */
   public ClusterView view() {
     return view;
   }
 
   // Jobs
 
-  /** Open jobs; a live view. */
+  /** Returns a live view of the open jobs. */
   public Collection<Job> jobs() {
     return jobs.all();
   }
 
-  /** An open job, or null. */
+  /** Returns the open job with this id, or null if there is none. */
   public @Nullable Job job(String id) {
     return jobs.get(id);
   }
 
   /**
-   * Adds an open job. All jobs of earlier terms have to be added before the first heartbeat.
+   * Adds an open job. All jobs of earlier terms must be added before the first heartbeat is
+   * received.
    *
-   * @param launchWatermark no task from this one on was ever launched
+   * @param launchWatermark the index from which on no task has ever been launched
    */
   public void addJob(
       JobSpec spec, long version, long submittedAtMs, BitSet finishedTasks, int launchWatermark) {
     if (jobs.get(spec.id()) != null) {
       return;
     }
-    boolean shownBefore =
+    boolean shownByHeartbeat =
         machines.all().stream()
             .flatMap(machine -> machine.attempts().stream())
             .anyMatch(attempt -> attempt.job() == null && attempt.task().job().equals(spec.id()));
-    if (shownBefore) {
-      throw new IllegalStateException("heartbeats were taken before the jobs were read");
+    if (shownByHeartbeat) {
+      throw new IllegalStateException(
+          "jobs of earlier terms must be added before the first heartbeat: job=" + spec.id());
     }
     jobs.add(spec, version, submittedAtMs, finishedTasks, launchWatermark);
   }
 
-  /** The job is over: nothing of it may run any longer. */
+  /** Removes a job that has ended and stops all of its attempts. */
   public void removeJob(String id) {
     Job job = jobs.remove(id);
     if (job == null) {
@@ -176,37 +181,51 @@
     changed = true;
   }
 
-  /** Which open jobs depend on which others. */
+  /** Returns the dependencies between open jobs. */
   public DependencyGraph dependencies() {
     return jobs.dependencies();
   }
 
-  /** How a job ended that others may depend on: some of them may be ready by that. */
+  /**
+   * Records the outcome of a job on which other jobs may depend. Some of these may become ready.
+   *
+   * @param done whether the job has completed; if false, it has ended otherwise
+   * @param atMs the wall-clock time at which the job ended
+   */
   public void jobEnded(String id, boolean done, long atMs) {
     jobs.jobEnded(id, done, atMs);
   }
 
-  /** Jobs with finished tasks that the state service does not know of yet; a live view. */
+  /** Returns a live view of the jobs with finished tasks that are not in the state service yet. */
   public Set<Job> jobsWithUnsavedTasks() {
     return jobs.unsavedJobs();
   }
 
-  /** The state service knows these finished tasks; their attempts need not be kept any more. */
+  /**
+   * Records that the state service has stored these finished tasks. Workers may now forget their
+   * attempts.
+   */
   public void finishedTasksSaved(Job job, BitSet tasks) {
     jobs.finishedTasksSaved(job, tasks);
   }
 
-  /** Open jobs whose tasks are all finished; a live view. */
+  /** Returns a live view of the open jobs whose tasks are all finished. */
   public Set<Job> completedJobs() {
     return jobs.completedJobs();
   }
 
-  /** Jobs with placed tasks that are launched once a higher launch watermark is written. */
+  /**
+   * Returns the jobs with placed tasks that cannot be launched before a higher launch watermark has
+   * been written.
+   */
   public Set<Job> jobsAwaitingLaunchWatermark() {
     return jobs.awaitingLaunchWatermark();
   }
 
-  /** The state service knows that tasks of the job below this one may have been launched. */
+  /**
+   * Records that the state service has stored a launch watermark of the job, so that tasks below it
+   * may be launched.
+   */
   public void launchWatermarkSaved(Job job, int launchWatermark) {
     jobs.launchWatermarkSaved(job, launchWatermark);
     job.placedAttempts().forEach(attempt -> commandQueue.markDue(attempt.machine()));
@@ -216,7 +235,7 @@
     return arrivals;
   }
 
-  /** How long a task of a job is expected to run, in seconds. */
+  /** Returns the expected runtime of a task of the job, in seconds. */
   public double expectedRuntimeS(JobSpec job) {
     return runtimeEstimator.expectedRuntimeS(job);
   }
@@ -227,22 +246,24 @@
     return machines.types();
   }
 
-  /** Takes the cloud's current machine types. */
+  /** Updates the machine types to those that the cloud offers now, by name. */
   public void machineTypes(Map<String, MachineType> newTypes) {
     changed |= machines.updateTypes(newTypes);
   }
 
-  /** All machines that exist; a live view. */
+  /** Returns a live view of all machines that have not been removed. */
   public Collection<Machine> machines() {
     return machines.all();
   }
 
-  /** A machine that exists, or null. */
+  /** Returns the machine with this id, or null if it is unknown or has been removed. */
   public @Nullable Machine machine(String id) {
     return machines.get(id);
   }
 
-  /** Whether the machine was removed: its heartbeats are late ones. */
+  /**
+   * Returns whether the machine has been removed. Heartbeats that still arrive from it are late.
+   */
   public boolean isRemoved(String machineId) {
     return machines.isRemoved(machineId);
   }
@@ -251,62 +272,70 @@
     return reconciliation.isUnreconciled(machine);
   }
 
-  /** How many machines may hold tasks of earlier terms. */
+  /** Returns the number of machines that may hold tasks of earlier terms. */
   public int unreconciledCount() {
     return reconciliation.machines().size();
   }
 
-  /** Which machines the next leader must know of. */
+  /** Returns the registry of the machines that the next leader must know of. */
   public MachineRegistry registry() {
     return registry;
   }
 
-  /** Machines whose heartbeats arrive and that receive nothing. */
+  /** Returns the detector of machines whose heartbeats arrive but that receive no messages. */
   public UnresponsiveMachineDetector unresponsiveMachines() {
     return unresponsiveMachines;
   }
 
-  /** A machine that an earlier leader gave tasks to; see {@link MachineLifecycle#addRegistered}. */
+  /**
+   * Adds a machine to which an earlier leader has, or may have, assigned tasks; see {@link
+   * MachineLifecycle#addRegistered}.
+   */
   public void addRegistered(String id, double ageS, @Nullable Set<TaskId> possibleTasks) {
     machineLifecycle.addRegistered(id, ageS, possibleTasks);
   }
 
-  /** The cloud has responded to a rental request with this machine. */
+  /** Adds a machine that the cloud has returned in response to a rental request. */
   public void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
     machineLifecycle.machineRented(id, type, zone, spot, requestedAt);
   }
 
-  /** One line of the cloud's list; see {@link MachineLifecycle#machineListed}. */
+  /** Applies one entry of the cloud's machine list; see {@link MachineLifecycle#machineListed}. */
   public void machineListed(ListedMachine listed) {
     machineLifecycle.machineListed(listed);
   }
 
-  /** Removes what a complete list of the cloud lacks; see {@link MachineLifecycle}. */
+  /**
+   * Removes the machines that are missing from a complete list of the cloud; see {@link
+   * MachineLifecycle#removeUnlisted}.
+   */
   public void removeUnlisted(Set<String> ids, double requestedAt) {
     machineLifecycle.removeUnlisted(ids, requestedAt);
   }
 
-  /** The machine does not exist any more, and nothing on it. */
+  /** Removes a machine that no longer exists, and ends all attempts on it. */
   public void machineRemoved(Machine machine, String reason) {
     machineLifecycle.machineRemoved(machine, reason);
   }
 
-  /** The cloud has been asked to take the machine back: nothing new may start there. */
+  /**
+   * Records that the machine's return to the cloud was requested; no new tasks are placed on it.
+   */
   public void markReturning(Machine machine) {
     machineLifecycle.markReturning(machine);
   }
 
-  /** Releases every machine whose worker's lease must have run out. */
+  /** Releases every machine whose worker's lease must have expired. */
   public void expireLeases() {
     machineLifecycle.expireLeases();
   }
 
-  /** This controller has paused until now; see {@link MachineTable#onProcessPause}. */
+  /** Records that this process was paused until now; see {@link MachineTable#onProcessPause}. */
   public void onProcessPause() {
     machines.onProcessPause();
   }
 
-  /** Whether most machines that are up have been silent for a while. */
+  /** Returns whether most of the machines that are up have been silent for this many seconds. */
   public boolean isMostlySilent(double durationS) {
     return machines.isMostlySilent(durationS);
   }
@@ -314,75 +343,83 @@
   // Heartbeats
 
   /**
-   * Takes a heartbeat that the worker sent by itself, and the response to which renews its lease.
+   * Applies a heartbeat that the worker sent on its own initiative. The response to it renews the
+   * worker's lease.
    *
-   * @return the machine, or null when it was removed
+   * @return the machine, or null if it has been removed
    */
   public @Nullable Machine heartbeatReceived(Heartbeat heartbeat) {
     return heartbeats.heartbeatReceived(heartbeat);
   }
 
-  /** Takes the status in a worker's response to a direct command, which renews no lease. */
+  /**
+   * Applies the status in a worker's response to a direct command. Unlike a heartbeat, the exchange
+   * does not renew the worker's lease.
+   */
   public void directStatusReceived(Machine machine, Heartbeat status) {
     heartbeats.directStatusReceived(machine, status);
   }
 
   // Attempts
 
-  /** Starts an attempt at a task on a machine, if both are still free for that. */
+  /** Places a task on a machine if the task is still waiting and the machine is schedulable. */
   public Optional<Attempt> place(TaskId task, String machineId) {
     return place(task, machineId, false);
   }
 
   /**
-   * Starts an attempt at a task on a machine, if both are still free for that.
+   * Places a task on a machine if the task is still waiting and the machine is schedulable.
    *
-   * @param overdue whether the task is not to be preempted
+   * @param overdue whether the task's job is overdue, which exempts the attempt from preemption
+   * @return the new attempt, or empty if the task was not placed
    */
   public Optional<Attempt> place(TaskId task, String machineId, boolean overdue) {
     return attempts.place(task, machineId, overdue);
   }
 
-  /** Preempts a task, with time to save its progress where it can. */
+  /** Preempts a task, with a grace period to save its progress if it supports checkpoints. */
   public void preempt(TaskId task, String machineId, String detail) {
     attempts.preempt(task, machineId, detail);
   }
 
-  /** Stops what is on a machine, with time to save, so that it goes on elsewhere. */
+  /**
+   * Drains a machine: stops its tasks, with a grace period for those that support checkpoints, so
+   * that they continue on other machines.
+   */
   public void drain(Machine machine) {
     attempts.drain(machine);
   }
 
   // Commands
 
-  /** A machine that may have commands waiting, or null. */
+  /** Removes and returns the next machine that may have commands due, or null if there is none. */
   public @Nullable Machine nextMachineWithCommands() {
     return commandQueue.poll();
   }
 
-  /** What to send to a machine now, or null. */
+  /** Returns the batch to send to the machine now, or null if there is nothing to send. */
   public @Nullable CommandBatch nextBatch(Machine machine) {
     return dispatcher.nextBatch(machine);
   }
 
   /**
-   * What became of a batch.
+   * Records the outcome of a batch.
    *
-   * @param status the worker's status in its response, or null without a response
+   * @param status the worker's status in its response, or null if there was no response
    */
   public void batchCompleted(
       CommandBatch batch, DeliveryOutcome outcome, @Nullable Heartbeat status) {
     dispatcher.batchCompleted(batch, outcome, status);
   }
 
-  /** Machines whose batches failed and may be repeated. */
+  /** Queues the machines whose commands are still due, so that failed batches are repeated. */
   public void retryCommands() {
     dispatcher.requeueRetryable();
   }
 
   /**
-   * Commands for the response to a heartbeat: stops, what may be forgotten, and launches whose
-   * delivery is unknown.
+   * Returns the commands for the response to a heartbeat: stops, exited attempts that the worker
+   * may forget, and launches whose delivery is unknown.
    */
   public List<Command> responseCommands(Machine machine) {
     return commandBuilder.responseCommands(machine);
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -25,15 +25,14 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * The cluster as others look at it: machines, pending jobs and teams for the scheduling cycle;
- * timelines and free resources of machines for the autoscaler; a summary for the log. Changes
- * nothing.
+ * A read-only view of the cluster: machines, pending jobs and teams for the scheduling cycle,
+ * timelines and free resources of machines for the autoscaler, and a summary for the log.
  */
 public final class ClusterView {
-  /** A job of which nothing has run for so many leases is overdue. */
+  /** A job is overdue after waiting for this many worker leases without ever having run. */
   private static final double OVERDUE_LEASES = 4;
 
-  /** A task is moved only when it will run for so many times the duration of a checkpoint. */
+  /** A task is moved only if its remaining runtime is at least this many checkpoint durations. */
   private static final double MIN_REMAINING_CHECKPOINTS = 4;
 
   private final EventLoop loop;
@@ -60,7 +59,7 @@
 
   // For the log
 
-  /** Fields for a line of the log: how much there is, and how much of it is used. */
+  /** Returns the fields of a log line that summarizes capacity, usage and waiting work. */
   public String summary() {
     int up = 0;
     int notUp = 0;
@@ -112,8 +111,8 @@
   // For the scheduling cycle
 
   /**
-   * Machines on which tasks may be placed. What did not change since the last time is not made
-   * anew.
+   * Returns the machines on which tasks may be placed. The views of machines that have not changed
+   * since the last call are reused.
    */
   public List<MachineView> schedulableMachines() {
     double now = loop.now();
@@ -128,10 +127,10 @@
   }
 
   /**
-   * Jobs with tasks that may be placed now.
+   * Returns the jobs with tasks that may be placed now.
    *
-   * @param canRaiseWatermarks whether launch watermarks can be written; if not, tasks beyond the
-   *     present ones have to wait
+   * @param canRaiseWatermarks whether launch watermarks can be written; if not, tasks from the
+   *     current launch watermark of their job on have to wait
    */
   public List<PendingJob> pendingJobs(boolean canRaiseWatermarks) {
     double now = loop.now();
@@ -159,7 +158,7 @@
     return pendingJobs;
   }
 
-  /** Waiting tasks of the job except for those that unreconciled machines may hold. */
+  /** Returns the waiting tasks of the job except for those that unreconciled machines may hold. */
   private BitSet waitingTasksNotOnUnreconciled(Job job, boolean anyMayHoldAnything) {
     BitSet tasks = (BitSet) job.waitingTasks().clone();
     if (anyMayHoldAnything) {
@@ -176,7 +175,7 @@
     return tasks;
   }
 
-  /** How many tasks of the job each zone has, or may have. */
+  /** Returns the number of tasks of the job that are or may be in each zone. */
   private static Map<String, Integer> tasksPerZone(Job job) {
     Map<String, Integer> perZone = new HashMap<>();
     job.placedAttempts().forEach(attempt -> addToZone(attempt, perZone));
@@ -188,27 +187,36 @@
     perZone.merge(attempt.machine().zone(), 1, Integer::sum);
   }
 
-  /** Whether the job has waited for very long, and nothing of it has ever run. */
+  /**
+   * Returns whether the job has waited for more than {@link #OVERDUE_LEASES} leases and none of its
+   * tasks has ever run or is placed.
+   */
   private boolean isOverdue(Job job) {
     double limitS = OVERDUE_LEASES * settings.workerLeaseS();
     return job.waitingTimeS(loop.wallClockMs()) > limitS && job.isUntouched();
   }
 
-  /** Teams with what their tasks use or may be using; {@code weights} are the operators' own. */
-  public Map<String, Team> teams(SchedulingSettings tuning, Map<String, Double> weights) {
+  /**
+   * Returns the teams by name, with what their tasks use or may be using.
+   *
+   * @param weights weights set by operators, by team; the default for other teams is the sum of
+   *     their guaranteed CPUs and GPUs, or 1 if they have no guarantee
+   */
+  public Map<String, Team> teams(
+      SchedulingSettings schedulingSettings, Map<String, Double> weights) {
     Map<String, Team> teams = new HashMap<>();
     for (TeamQuota quota : settings.teams().values()) {
       double guarantee = quota.guaranteedCpus() + quota.guaranteedGpus();
       double weight = weights.getOrDefault(quota.name(), guarantee > 0 ? guarantee : 1.0);
       teams.put(quota.name(), new Team(quota, weight));
     }
-    QuotaAccounting.count(jobs, machines, reconciliation, teams, tuning);
+    QuotaAccounting.count(jobs, machines, reconciliation, teams, schedulingSettings);
     return teams;
   }
 
   // For the autoscaler
 
-  /** What is free on a machine now, or null when nothing may be placed there. */
+  /** Returns the free resources of a machine, or null if no tasks may be placed on it now. */
   public @Nullable Resources freeResources(Machine machine) {
     MachineType type = machines.typeOf(machine);
     if (type == null || !machine.isSchedulable(loop.now())) {
@@ -216,16 +224,19 @@
     }
     Resources free = Resources.capacityOf(type);
     for (Attempt attempt : machine.attempts()) {
-      free.subtract(Objects.requireNonNull(attempt.job(), "of a schedulable machine"));
+      free.subtract(
+          Objects.requireNonNull(
+              attempt.job(), "all tasks on a schedulable machine must belong to known jobs"));
     }
     return free;
   }
 
   /**
-   * What the autoscaler may count on: machines that are up or starting.
+   * Returns the timelines of the machines on which the autoscaler may rely: those that are up or
+   * starting.
    *
-   * @param lateBootFactor a machine that takes so many times its boot time is not counted on
-   * @param countReleased whether to count what running tasks will release
+   * @param lateBootFactor a starting machine is left out after this many times its boot time
+   * @param countReleased whether to include the resources that running tasks will release
    */
   public List<Forecast.MachineTimeline> machineTimelines(
       double lateBootFactor, boolean countReleased) {
@@ -270,7 +281,7 @@
     return runtimeEstimator.remainingRuntimeS(job, attempt.runningSince(), now);
   }
 
-  /** How many tasks of each job there are on machines of some types. */
+  /** Returns the number of tasks of each job on machines of the given types. */
   public List<DisplacedTasks.Running> tasksOnMachineTypes(Set<String> types) {
     Map<String, Map<String, DisplacedTasks.Running>> byType = new HashMap<>();
     for (Machine machine : machines.all()) {
@@ -284,7 +295,7 @@
                 .merge(
                     job.id(),
                     new DisplacedTasks.Running(type, job, 1),
-                    (sum, one) ->
+                    (sum, added) ->
                         new DisplacedTasks.Running(sum.type(), sum.job(), sum.tasks() + 1));
           }
         }
@@ -296,8 +307,10 @@
   }
 
   /**
-   * Whether everything on a machine saves its progress, has run for a while and will run on, and
-   * may go anywhere.
+   * Returns whether the machine has tasks and all of them can be moved: each supports checkpoints,
+   * has run for at least the given time, has enough runtime left, and has no zone constraint.
+   *
+   * @param minRunS the time in seconds for which each task must have been running
    */
   public boolean isMovable(Machine machine, double minRunS) {
     double now = loop.now();
