--- a/src/main/java/org/saffronshore/cluster/CommandBatch.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBatch.java
@@ -4,10 +4,11 @@
 import org.saffronshore.wire.Command;
 
 /**
- * A direct command message that is ready to be sent to a worker.
+ * Commands that are sent directly to a worker in one message.
  *
- * @param epoch the worker's epoch that it is meant for; in any other it is rejected
- * @param commands all of it, in the order in which the worker executes it
+ * @param epoch the epoch of the worker for which the batch is meant; in any other epoch the worker
+ *     rejects it
+ * @param commands the commands, in the order in which the worker executes them
  * @param launches the attempts whose launches are among the commands
  */
 public record CommandBatch(
--- a/src/main/java/org/saffronshore/cluster/CommandBuilder.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBuilder.java
@@ -7,8 +7,8 @@
 import org.saffronshore.wire.Command;
 
 /**
- * Which commands are due for a machine: launches, stops, and the exited attempts that its worker
- * may forget.
+ * Builds the commands that are due for a machine: launches, stops, and reaps of exited attempts
+ * that its worker may forget.
  */
 final class CommandBuilder {
   private static final int MAX_COMMANDS_PER_MESSAGE = 400;
@@ -24,8 +24,9 @@
   }
 
   /**
-   * Whether there is anything to be sent to the machine. One that does not know this term yet, or
-   * does not show that it receives anything, is always sent something, if only an empty batch.
+   * Returns whether there is anything to send to the machine. A machine that does not know this
+   * term yet, or that shows no sign of receiving messages, is always sent a batch, even an empty
+   * one.
    */
   boolean hasCommands(Machine machine) {
     if (!machine.isReconciled() || machine.health().isUnresponsive()) {
@@ -39,7 +40,7 @@
     return false;
   }
 
-  /** Commands for a direct batch; adds the attempts that it launches to {@code launches}. */
+  /** Returns the commands for a direct batch and adds the attempts that it launches to a list. */
   List<Command> directCommands(Machine machine, List<Attempt> launches) {
     List<Command> commands = new ArrayList<>();
     if (machine.isReconciled()) {
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Commands for the response to a heartbeat: stops, what may be forgotten, and launches whose
-   * delivery is unknown.
+   * Returns the commands for the response to a heartbeat: stops, exited attempts that the worker
+   * may forget, and launches whose delivery is unknown.
    */
   List<Command> responseCommands(Machine machine) {
     List<Command> commands = new ArrayList<>();
@@ -85,8 +86,9 @@
 
   /**
    * Adds the launch of an attempt that no heartbeat has shown yet. A launch whose delivery is
-   * unknown is repeated until the worker shows it, also when it is not wanted any more: a worker
-   * that knows that the attempt has ended will not start it when the lost copy arrives.
+   * unknown is repeated until the worker shows the attempt, even if the attempt is no longer
+   * wanted: a worker that knows that the attempt has ended will not start it when the lost copy of
+   * the launch arrives.
    */
   private void addLaunch(
       Attempt attempt, List<Command> commands, List<Attempt> launches, boolean direct) {
@@ -94,8 +96,8 @@
       return;
     }
     if (!direct && attempt.machine().delivery().isFailing() && !attempt.isLaunchInFlight()) {
-      // The worker reaches this controller, perhaps through a peer, and cannot be reached: the
-      // responses to its heartbeats carry launches.
+      // The worker can reach this controller, perhaps through a peer, but this controller cannot
+      // reach the worker, so launches are sent in the responses to its heartbeats.
       attempt.launchSentWithoutConfirmation();
     }
     if (direct ? attempt.isLaunchInFlight() : !attempt.isDeliveryUnknown()) {
@@ -108,7 +110,7 @@
     }
   }
 
-  /** Whether its launch may be sent, again or for the first time. */
+  /** Returns whether the launch of the attempt may be sent, for the first time or again. */
   private boolean isLaunchDue(Attempt attempt) {
     if (!attempt.isLaunching()) {
       return false;
@@ -124,7 +126,10 @@
     return attempt.isStopDue(loop.now(), settings.heartbeatIntervalS() * 2 / 3);
   }
 
-  /** Whether the worker may forget an exited attempt: it cannot start anew, and its end is kept. */
+  /**
+   * Returns whether the worker may forget an exited attempt: no launch can start it again, and if
+   * it completed its task, that is stored or the job is no longer open.
+   */
   private boolean isReapable(Attempt attempt) {
     if (attempt.launchMayArrive()) {
       return false;
--- a/src/main/java/org/saffronshore/cluster/CommandDelivery.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDelivery.java
@@ -1,8 +1,11 @@
 package org.saffronshore.cluster;
 
-/** Whether a machine's worker can be sent direct commands: at most one batch at a time. */
+/**
+ * The state of the delivery of direct commands to one machine's worker: at most one batch is in
+ * flight, and failures delay the next one.
+ */
 final class CommandDelivery {
-  /** After this many failures in a row the pause before the next batch grows no longer. */
+  /** Consecutive failures beyond this number do not extend the backoff any further. */
   private static final int MAX_BACKOFFS = 5;
 
   private boolean inFlight;
@@ -17,7 +20,7 @@
     return !inFlight && !(now < nextBatchAt);
   }
 
-  /** Whether the last batch did not reach the worker for sure. */
+  /** Returns whether it is not certain that the last completed batch reached the worker. */
   boolean isFailing() {
     return consecutiveFailures > 0;
   }
@@ -30,18 +33,18 @@
     inFlight = false;
   }
 
-  /** The worker has received the last batch. */
+  /** Records that the worker has received the last batch. */
   void succeeded() {
     consecutiveFailures = 0;
   }
 
   /**
-   * The last batch may not have reached the worker.
+   * Records that the last batch may not have reached the worker.
    *
-   * @param pauseS the pause before the next batch for each failure in a row
+   * @param backoffS seconds that each consecutive failure adds to the delay before the next batch
    */
-  void failed(double now, double pauseS) {
+  void failed(double now, double backoffS) {
     consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_BACKOFFS);
-    nextBatchAt = now + pauseS * consecutiveFailures;
+    nextBatchAt = now + backoffS * consecutiveFailures;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -9,11 +9,12 @@
 import org.saffronshore.wire.Heartbeat;
 
 /**
- * Batches of commands that go straight to the workers, one at a time for each machine, and what
- * became of them. The responses to heartbeats carry what could not be delivered so.
+ * Creates the batches of commands that are sent directly to workers, one at a time per machine, and
+ * processes their outcomes. Commands that cannot be delivered directly are sent in the responses to
+ * heartbeats.
  */
 final class CommandDispatcher {
-  /** Each failure in a row adds this part of a heartbeat interval to the pause after it. */
+  /** Each consecutive failure extends the backoff by the heartbeat interval divided by this. */
   private static final double BACKOFF_DIVISOR = 6;
 
   private final EventLoop loop;
@@ -47,7 +48,7 @@
     this.heartbeats = heartbeats;
   }
 
-  /** What to send to a machine now, or null. */
+  /** Returns the batch to send to the machine now, or null if there is nothing to send. */
   @Nullable CommandBatch nextBatch(Machine machine) {
     if (!machines.contains(machine)
         || machine.address() == null
@@ -60,15 +61,16 @@
     List<Command> commands = commandBuilder.directCommands(machine, launches);
     launches.forEach(Attempt::launchSent);
     machine.delivery().batchSent();
-    // A wrong guess of the epoch is harmless: nothing is executed, and the rejection tells the
-    // right one.
+    // The epoch is a guess if the current one is not known. A wrong guess is harmless: the worker
+    // executes nothing, and its rejection contains the right epoch.
     long epoch = Math.max(1, machine.epochs().epoch());
     return new CommandBatch(machine, epoch, commands, launches);
   }
 
   /**
-   * An unreconciled machine that was not heard in this term is sent an empty batch, which asks for
-   * its status: tasks of older jobs wait for what it holds.
+   * Returns whether the machine's worker can be expected to respond to a batch. An unreconciled
+   * machine that was not heard in this term counts too: it is sent an empty batch to obtain its
+   * status, because tasks of older jobs have to wait until it is known what the machine holds.
    */
   private boolean isExpectedToRespond(Machine machine) {
     return machine.isUp()
@@ -77,9 +79,9 @@
   }
 
   /**
-   * What became of a batch.
+   * Records the outcome of a batch.
    *
-   * @param status the worker's status in its response, or null without a response
+   * @param status the worker's status in its response, or null if there was no response
    */
   void batchCompleted(CommandBatch batch, DeliveryOutcome outcome, @Nullable Heartbeat status) {
     Machine machine = batch.machine();
@@ -100,7 +102,8 @@
       delivery.failed(loop.now(), settings.heartbeatIntervalS() / BACKOFF_DIVISOR);
     }
     if (status != null) {
-      // Executed, or rejected, and yet the worker does not show it: it is not there.
+      // The worker has executed or rejected the launches. An attempt that its status still does not
+      // show, and whose launch cannot arrive any more, is not on the machine.
       batch.launches().stream().filter(CommandDispatcher::cannotStart).forEach(attempts::end);
     }
     if (machines.contains(machine)) {
@@ -115,12 +118,15 @@
     }
   }
 
-  /** Whether no heartbeat has shown the attempt and no launch of it can arrive any more. */
+  /**
+   * Returns whether the attempt can no longer start: its machine still counts it, but no status has
+   * shown it and no launch of it can arrive any more.
+   */
   private static boolean cannotStart(Attempt attempt) {
     return attempt.isLaunching() && !attempt.launchMayArrive() && attempt.isOnMachine();
   }
 
-  /** Queues machines whose batches failed and may be repeated. */
+  /** Queues the machines whose commands are still due, so that failed batches are repeated. */
   void requeueRetryable() {
     for (Machine machine : machines.all()) {
       if (machine.isUp() && !machine.delivery().isInFlight()) {
--- a/src/main/java/org/saffronshore/cluster/CommandQueue.java
+++ b/src/main/java/org/saffronshore/cluster/CommandQueue.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** Machines that have, or may have, commands to be sent; the one that has waited longest first. */
+/** A FIFO queue, without duplicates, of the machines that have or may have commands to be sent. */
 final class CommandQueue {
   private final CommandBuilder commandBuilder;
   private final Set<Machine> dueMachines = new LinkedHashSet<>();
@@ -13,26 +13,26 @@
     this.commandBuilder = commandBuilder;
   }
 
-  /** The machine has, or may have, commands; one that waits already keeps its place. */
+  /** Queues a machine that has or may have commands. A machine in the queue keeps its position. */
   void markDue(Machine machine) {
     dueMachines.add(machine);
   }
 
-  /** Queues the machine if it has commands. */
+  /** Queues the machine if there is anything to send to it. */
   void markDueIfHasCommands(Machine machine) {
     if (commandBuilder.hasCommands(machine)) {
       dueMachines.add(machine);
     }
   }
 
-  /** Takes the machine that has waited longest; null when none waits. */
+  /** Removes and returns the machine that has waited longest, or null if the queue is empty. */
   @Nullable Machine poll() {
-    var first = dueMachines.iterator();
-    if (!first.hasNext()) {
+    var machines = dueMachines.iterator();
+    if (!machines.hasNext()) {
       return null;
     }
-    Machine machine = first.next();
-    first.remove();
+    Machine machine = machines.next();
+    machines.remove();
     return machine;
   }
 }
--- a/src/main/java/org/saffronshore/cluster/DeliveryOutcome.java
+++ b/src/main/java/org/saffronshore/cluster/DeliveryOutcome.java
@@ -1,13 +1,16 @@
 package org.saffronshore.cluster;
 
-/** What became of a {@link CommandBatch} that was sent to a worker. */
+/** The outcome of sending a {@link CommandBatch} to a worker. */
 public enum DeliveryOutcome {
-  /** The worker has executed it and sent its status. */
+  /** The worker has executed the batch and responded with its status. */
   EXECUTED,
 
-  /** It never left this controller, or the worker has rejected it: it will not be executed. */
+  /** The batch will not be executed: it never left this controller, or the worker rejected it. */
   NOT_EXECUTED,
 
-  /** Neither is certain: it may be executed at any time as long as token and epoch match. */
+  /**
+   * It is not known whether the batch was or will be executed. It may be executed at any time as
+   * long as its fencing token and epoch match.
+   */
   UNKNOWN
 }
--- a/src/main/java/org/saffronshore/cluster/package-info.java
+++ b/src/main/java/org/saffronshore/cluster/package-info.java
@@ -1,18 +1,18 @@
 /**
- * What one leader knows of machines, jobs and attempts during its term, and every decision about
- * what counts as running where.
+ * The state of machines, jobs and attempts as known to one leader during its term, and all
+ * decisions about which tasks count as being on which machine.
  *
- * <p>{@link org.saffronshore.cluster.Cluster} builds the parts and is their facade. Tables ({@code
- * JobTable}, {@code MachineTable}) hold what there is; {@code MachineLifecycle} and {@code
- * AttemptLifecycle} change it; {@code HeartbeatReconciler} and {@code TaskStatusReconciler} bring
- * in what workers send; {@code CommandBuilder}, {@code CommandQueue} and {@code CommandDispatcher}
- * make what is sent to them; {@code Reconciliation} says what earlier leaders may have left behind;
- * {@code ClusterView} and {@code QuotaAccounting} show all of it to the scheduling cycle and the
- * autoscaler.
+ * <p>{@link org.saffronshore.cluster.Cluster} creates the components and is their facade. {@code
+ * JobTable} and {@code MachineTable} hold jobs and machines; {@code MachineLifecycle} and {@code
+ * AttemptLifecycle} change them. {@code HeartbeatReconciler} and {@code TaskStatusReconciler} apply
+ * the messages of workers; {@code CommandBuilder}, {@code CommandQueue} and {@code
+ * CommandDispatcher} prepare the commands that are sent to workers. {@code Reconciliation} tracks
+ * what earlier leaders may have launched. {@code ClusterView} and {@code QuotaAccounting} present
+ * the state to the scheduling cycle and the autoscaler.
  *
- * <p>All of it belongs to the event loop's thread and sends nothing itself: package {@code control}
- * does that. It uses the domain types of {@code wire}, {@code scheduling} and {@code fleet}, the
- * settings and the event loop's clock; it uses neither HTTP nor the state service.
+ * <p>All classes are confined to the event loop thread and send nothing themselves; that is done by
+ * package {@code control}. They use the domain types of {@code wire}, {@code scheduling} and {@code
+ * fleet}, the settings and the event loop's clock, but neither HTTP nor the state service.
  */
 @NullMarked
 package org.saffronshore.cluster;
