--- a/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
+++ b/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
@@ -19,10 +19,13 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** One leader's cluster on a manual clock, and what its tests have in common. */
+/** Base class of tests of one leader's cluster on a manual clock. */
 abstract class ClusterTestBase {
   static final long TERM = 5;
+
+  /** Version of the leader's key; jobs with a lower version are from earlier terms. */
   static final long TERM_VERSION = 100;
+
   static final TaskId TASK = new TaskId("wk-1", 0);
   final ManualEventLoop loop = new ManualEventLoop();
   final Cluster cluster = new Cluster(loop, TestData.settings(), TERM, TERM_VERSION);
@@ -33,6 +36,7 @@
     cluster.machineTypes(TestData.TYPES);
   }
 
+  /** Adds job wk-1 with a single task, accepted at this version. */
   void addJob(long version) {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 1, 4),
@@ -42,6 +46,7 @@
         Integer.MAX_VALUE);
   }
 
+  /** Adds a machine that is up, reconciled and registered. */
   Machine addUpMachine(String id) {
     Machine machine =
         Objects.requireNonNull(cluster.heartbeatReceived(heartbeat(id, 1, ++sequence, TERM)));
@@ -49,17 +54,17 @@
     return machine;
   }
 
-  /** A machine that must be there. */
+  /** Returns the machine with this id, which must exist. */
   Machine machine(String id) {
     return Objects.requireNonNull(cluster.machine(id), id);
   }
 
-  /** A job that must be open. */
+  /** Returns the job with this id, which must be open. */
   Job openJob(String id) {
     return Objects.requireNonNull(cluster.job(id), id);
   }
 
-  /** The next batch of a machine, which must have one. */
+  /** Returns the next batch for a machine; there must be one. */
   CommandBatch nextBatch(Machine machine) {
     return Objects.requireNonNull(cluster.nextBatch(machine), machine.id());
   }
@@ -68,6 +73,7 @@
     return !cluster.view().pendingJobs(true).isEmpty();
   }
 
+  /** Places {@link #TASK} on a machine and returns the batch that launches it. */
   CommandBatch launch(Machine machine) {
     cluster.place(TASK, machine.id());
     return nextBatch(machine);
@@ -88,10 +94,10 @@
         loop.now());
   }
 
-  /** Which tasks a plan places, by their index. */
+  /** Returns the indexes of the tasks that a plan places, separated by spaces. */
   static String placedIndexes(SchedulingPlan plan) {
     return plan.placements().stream()
-        .map(p -> "" + p.task().index())
+        .map(placement -> "" + placement.task().index())
         .collect(Collectors.joining(" "));
   }
 
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -26,7 +26,7 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** What a new leader may place after a failover, and what it has to wait for. */
+/** Tests which tasks a new leader may place after a failover, and which have to wait. */
 class FailoverTest extends ClusterTestBase {
   @ParameterizedTest
   @CsvSource({"99, false", "101, true"})
@@ -41,22 +41,24 @@
     cluster.addRegistered("host-1", 0, null);
     addJob(1);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 1, TERM - 1));
-    assertFalse(hasPlaceableJob(), "a launch of the last leader may still arrive there");
-    assertNotNull(cluster.nextBatch(machine("host-1")), "it is sent the token at once");
+    assertFalse(hasPlaceableJob(), "a launch of the previous leader may still arrive there");
+    assertNotNull(
+        cluster.nextBatch(machine("host-1")), "a batch with the fencing token is sent at once");
     cluster.heartbeatReceived(heartbeat("host-1", 1, 2, TERM));
     assertTrue(hasPlaceableJob());
   }
 
   /**
-   * A new leader does not wait until every machine has found it: it sends a batch to those that the
-   * cloud's list tells it of.
+   * Guards against a new leader that waits until every worker has found it, which delays older jobs
+   * after a failover. It sends a batch to each registered machine as soon as the cloud's list has
+   * given the address.
    */
   @Test
   void registeredMachineIsSentAnEmptyBatchBeforeItsFirstHeartbeat() {
     cluster.addRegistered("host-1", 0, null);
     addJob(1);
     Machine machine = machine("host-1");
-    assertNull(cluster.nextBatch(machine), "its address is not known");
+    assertNull(cluster.nextBatch(machine), "the address of the machine is not known");
     cluster.machineListed(
         new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     assertEquals(machine, cluster.nextMachineWithCommands());
@@ -65,7 +67,7 @@
     assertTrue(guess.commands().isEmpty());
     cluster.batchCompleted(
         guess, DeliveryOutcome.NOT_EXECUTED, heartbeat("host-1", 3, ++sequence, TERM - 1));
-    assertFalse(hasPlaceableJob(), "a launch of the last leader may still arrive there");
+    assertFalse(hasPlaceableJob(), "a launch of the previous leader may still arrive there");
     CommandBatch right = nextBatch(machine);
     assertEquals(3, right.epoch());
     cluster.batchCompleted(
@@ -78,8 +80,8 @@
   }
 
   /**
-   * Unreconciled machines may hold anything that was launched: the last leader wrote up to which
-   * task that is, so later tasks need not wait for them.
+   * Unreconciled machines may hold any task that was launched. The previous leader stored the
+   * launch watermark, so tasks from it on were never launched and need not wait for these machines.
    */
   @ParameterizedTest
   @CsvSource({"0, 0 1 2", "2, 2", "3, ''"})
@@ -93,15 +95,16 @@
   }
 
   /**
-   * Were a task launched before the watermark is written, the next leader might take it for one
-   * that never was.
+   * Guards against a task that is launched before its launch watermark is stored: the next leader
+   * would assume that it was never launched, and launch it a second time.
    */
   @Test
   void taskIsLaunchedOnlyOnceItsLaunchWatermarkIsSaved() {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 3, 4), TERM_VERSION + 1, 0, new BitSet(), 0);
     Machine machine = addUpMachine("host-1");
-    assertTrue(cluster.view().pendingJobs(false).isEmpty(), "the watermark cannot be written now");
+    assertTrue(
+        cluster.view().pendingJobs(false).isEmpty(), "the launch watermark cannot be written now");
     cluster.place(TASK, "host-1");
     cluster.retryCommands();
     assertNull(cluster.nextBatch(machine));
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Of a machine whose heartbeats had stopped, the last leader wrote what it held at most: only
-   * that must wait for it.
+   * When the heartbeats of a machine stopped, the previous leader stored the tasks that it could
+   * hold. Only these tasks have to wait for the machine.
    */
   @ParameterizedTest
   @CsvSource({"false, 0 1 2", "true, 1 2"})
@@ -135,10 +138,14 @@
     SchedulingPlan plan = plan(teams());
     assertEquals(placeable, placedIndexes(plan));
     cluster.addRegistered("host-3", 0, null);
-    assertFalse(hasPlaceableJob(), "that one may hold anything");
+    assertFalse(hasPlaceableJob(), "host-3 may hold anything");
   }
 
-  /** Once what it holds is being written, nothing may be added until another entry is confirmed. */
+  /**
+   * Guards against a task that is placed on a machine whose registry entry does not name it. Once
+   * the entry of a cordoned machine is being written, no task may be placed there until a new entry
+   * is confirmed.
+   */
   @Test
   void cordonedMachineIsSchedulableOnlyOnceItsNewEntryIsConfirmed() {
     Machine machine = addUpMachine("host-1");
@@ -162,20 +169,20 @@
     addJob(1);
     loop.pass(TestData.LEASE_S);
     cluster.expireLeases();
-    assertFalse(hasPlaceableJob(), "its clock may run slow");
+    assertFalse(hasPlaceableJob(), "the clock of the worker may run slow");
     loop.pass(1);
     cluster.expireLeases();
     assertTrue(hasPlaceableJob());
   }
 
   /**
-   * A machine that vanished between two leaders must not hold up every waiting job for the time of
-   * a lease.
+   * Guards against a machine that vanished between two leaders and delays every waiting job until
+   * its worker's lease must have expired.
    */
   @ParameterizedTest
   @CsvSource({"0, false", "60, true"})
-  void machineKnownLongEnoughIsRemovedByFirstListThatLacksIt(double age, boolean placeable) {
-    cluster.addRegistered("host-1", age, null);
+  void machineKnownLongEnoughIsRemovedByFirstListThatLacksIt(double ageS, boolean placeable) {
+    cluster.addRegistered("host-1", ageS, null);
     addJob(1);
     cluster.removeUnlisted(Set.of(), loop.now());
     assertEquals(placeable, hasPlaceableJob());
@@ -212,29 +219,30 @@
     SchedulingPlan plan = plan(teams);
     assertTrue(
         plan.placements().isEmpty() && plan.unplaced().isEmpty(),
-        "4 that may run and 62 are beyond 64");
+        "4 CPUs possibly in use and 62 more exceed the limit of 64");
     assertTrue(machine.isReconciled());
   }
 
   /**
-   * Tasks of a job that was cancelled a moment before the failover may still run: on a machine that
-   * may hold anything, on one whose entry names them, or on one that shows them. Their team is not
-   * known any more.
+   * Guards against a team that exceeds its limit because of tasks of a job that was cancelled just
+   * before the failover. They may still run on a machine that may hold anything, on one whose
+   * registry entry names them, or on one whose heartbeat shows them. The new leader does not know
+   * their team, so they count for every team.
    */
   @ParameterizedTest
   @CsvSource({"possible anywhere, 0", "possible, 0", "of an open job, 1", "shown, 0", "nowhere, 1"})
-  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(String what, int placed) {
+  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(String whereabouts, int placed) {
     Machine machine = addUpMachine("host-1");
     cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
-    if (what.equals("possible anywhere")) {
+    if (whereabouts.equals("possible anywhere")) {
       cluster.addRegistered("host-2", 0, null);
-    } else if (what.equals("shown")) {
+    } else if (whereabouts.equals("shown")) {
       cluster.heartbeatReceived(
           heartbeat(
               "host-2", 1, 9, TERM, taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    } else if (!what.equals("nowhere")) {
+    } else if (!whereabouts.equals("nowhere")) {
       cluster.addRegistered(
-          "host-2", 0, Set.of(new TaskId(what.equals("possible") ? "wk-7" : "wk-8", 0)));
+          "host-2", 0, Set.of(new TaskId(whereabouts.equals("possible") ? "wk-7" : "wk-8", 0)));
     }
     cluster.addJob(TestData.job("wk-8", "free", Priority.STANDARD, 1, 32), 1, 0, new BitSet(), 1);
     cluster.addJob(
@@ -258,12 +266,15 @@
     cluster.registry().markRegistered(List.of(machine, huge));
     assertEquals(
         placed,
-        plan(teams()).placements().stream().filter(p -> p.task().job().equals("wk-2")).count());
+        plan(teams()).placements().stream()
+            .filter(placement -> placement.task().job().equals("wk-2"))
+            .count());
   }
 
   /**
-   * A job is cancelled while a machine that holds a task of it is unreconciled: the task may run
-   * on, beside the tasks of open jobs on other machines, and not instead of them.
+   * Guards against a limit that is exceeded when a job is cancelled while a machine that may hold
+   * one of its tasks is unreconciled. The task may still run, so it counts in addition to the tasks
+   * of open jobs on other machines, not instead of them.
    */
   @ParameterizedTest
   @CsvSource({"'', 0", "host-1, 0", "host-2, 1"})
@@ -279,7 +290,9 @@
         TestData.job("wk-3", "red", Priority.STANDARD, 1, 8), TERM_VERSION + 1, 0, new BitSet(), 1);
     addUpMachine("host-3");
     assertEquals(
-        "", placedIndexes(plan(teams())), "two tasks of 30 CPUs, and 8 more, are beyond 64");
+        "",
+        placedIndexes(plan(teams())),
+        "two tasks of 30 CPUs and one of 8 exceed the limit of 64");
     cluster.removeJob("wk-2");
     if (reconciled.equals("host-1")) {
       cluster.heartbeatReceived(
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -17,15 +17,16 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Heartbeats that arrive late, or again. */
+/** Tests heartbeats that arrive late or more than once. */
 class LateHeartbeatTest extends ClusterTestBase {
   /**
-   * Epoch, sequence and shown state of a copy that must not change a task which runs on host-1 in
-   * epoch 2 of this term.
+   * A late copy of a heartbeat must not change a task that runs on host-1 in epoch 2. The
+   * parameters are the epoch, the sequence and the shown task state of the copy.
    */
   @ParameterizedTest
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
-  void lateCopyOfHeartbeatDoesNotChangeRunningTask(long epoch, long sequenceNumber, String shows) {
+  void lateCopyOfHeartbeatDoesNotChangeRunningTask(
+      long epoch, long sequenceNumber, String shownState) {
     cluster.heartbeatReceived(heartbeat("host-1", 2, 1, TERM));
     Machine machine = machine("host-1");
     cluster.registry().markRegistered(List.of(machine));
@@ -37,22 +38,25 @@
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 2, 9, TERM, 60.0, List.of(running)));
     Heartbeat copy =
-        shows.equals("none")
+        shownState.equals("none")
             ? heartbeat("host-1", epoch, sequenceNumber, TERM)
             : heartbeat(
                 "host-1",
                 epoch,
                 sequenceNumber,
                 TERM,
-                taskStatus("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
+                taskStatus("wk-1", 0, attempt, TaskState.valueOf(shownState), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
     assertEquals(1, openJob("wk-1").runningTaskCount());
     assertFalse(hasPlaceableJob());
     assertEquals(2, machine.epochs().epoch());
-    assertTrue(machine.hasPreemptionNotice(), "a notice is not undone");
+    assertTrue(machine.hasPreemptionNotice(), "a preemption notice is never revoked");
   }
 
-  /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
+  /**
+   * Guards against copies of its last heartbeat that keep a lost machine up, so that its tasks are
+   * never placed again. They are held for one lease after the original heartbeat, and no longer.
+   */
   @Test
   void copiesOfHeartbeatDoNotExtendLeaseOfLostMachine() {
     Machine machine = addUpMachine("host-1");
@@ -70,21 +74,22 @@
       loop.pass(1);
       cluster.heartbeatReceived(last);
       cluster.expireLeases();
-      assertFalse(hasPlaceableJob(), "its lease may run");
+      assertFalse(hasPlaceableJob(), "the lease may still be valid");
     }
     loop.pass(1);
     cluster.heartbeatReceived(last);
     cluster.expireLeases();
     assertTrue(hasPlaceableJob());
     cluster.heartbeatReceived(last);
-    assertTrue(hasPlaceableJob(), "a copy over a lease old brings nothing back");
+    assertTrue(hasPlaceableJob(), "a copy older than a lease does not restore the task");
     assertFalse(machine.isSchedulable(loop.now()));
     assertEquals(0, cluster.view().schedulableMachines().size());
   }
 
   /**
-   * The response to a late heartbeat may still arrive in time, and so renews the lease from when it
-   * was sent.
+   * Guards against a task that is placed again while its worker still holds a lease. The response
+   * to a late heartbeat may still arrive in time, in which case the lease is renewed from the time
+   * at which the heartbeat was sent.
    */
   @Test
   void lateHeartbeatRenewsLeaseFromSendTime() {
@@ -114,7 +119,8 @@
   }
 
   /**
-   * After a failover nothing newer is known: a copy of long ago must not count as free capacity.
+   * Guards against an old copy of a heartbeat that counts as free capacity: after a failover, the
+   * new leader knows no newer heartbeat of the machine.
    */
   @Test
   void machineKnownOnlyByOldHeartbeatDoesNotCountAsCapacity() {
@@ -124,29 +130,36 @@
     assertEquals(
         0,
         cluster.view().machineTimelines(1.6, true).size(),
-        "nor is it counted on when machines are rented");
+        "the autoscaler must not rely on the machine either");
     cluster.removeUnlisted(Set.of(), loop.now() + 20);
     assertNull(cluster.machine("host-1"));
   }
 
-  /** A copy shows a task where it is not any more; it must not be stopped where it truly runs. */
+  /**
+   * Guards against stopping a running task because a late copy of a heartbeat shows it on a machine
+   * where it no longer is.
+   */
   @Test
   void copyOfHeartbeatDoesNotStopTaskOnReconciledMachine() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
     addJob(1);
-    Heartbeat.TaskStatus old = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
-    Heartbeat.TaskStatus now = taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
-    cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, old));
-    cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, now));
+    Heartbeat.TaskStatus oldStatus = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
+    Heartbeat.TaskStatus currentStatus =
+        taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, oldStatus));
+    cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, currentStatus));
     Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().stopping());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 90, TERM));
-    assertFalse(hasPlaceableJob(), "it runs on host-2");
+    assertFalse(hasPlaceableJob(), "the task runs on host-2");
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
-  /** What is in two places is stopped in one; and only when it is in neither may it start again. */
+  /**
+   * A task that two machines show is stopped on one of them. It may be placed again only when it is
+   * on neither.
+   */
   @Test
   void taskOnTwoMachinesIsStoppedOnOneAndPlaceableWhenOnNeither() {
     cluster.addRegistered("host-1", 60, null);
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -19,8 +19,9 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What counts against a limit while machines are unreconciled. Tasks take 4 CPUs, machines have 32;
- * wk-1 and wk-2 of team red have two tasks each, of which the first of each was launched.
+ * Tests what counts against a team's limit while machines are unreconciled. Each task uses 4 CPUs
+ * and each machine has 32. Jobs wk-1 and wk-2 of team red have two tasks each, of which earlier
+ * leaders may have launched only the first.
  */
 class QuotaAccountingTest extends ClusterTestBase {
   private static final double LIMIT_CPUS = 64;
@@ -93,12 +94,12 @@
     "wk-1/0, wk-2/0, wk-1 completes, 0, 4, 0",
     "wk-1/0, wk-2/0, wk-1/0 completes, 0, 4, 0",
     "wk-1/0, wk-2/0, host-1 shows wk-1/0, 4, 4, 0",
-    // Two records may name one task; it is on one machine only.
+    // Two registry entries may name the same task; it is on one machine only.
     "wk-1/0, wk-1/0, nothing, 0, 4, 0",
-    // Of a job that was over before the term, nobody knows the team or the size.
+    // Neither the team nor the size of a job that ended before the term is known.
     "wk-9/0, wk-2/0, nothing, 0, 4, 32",
     "wk-1/0 wk-9/0, wk-2/0, nothing, 0, 8, 28",
-    // A machine that may hold anything counts beside one that is written down.
+    // A machine that may hold anything counts in addition to one whose entry names its tasks.
     "wk-1/0, anything, nothing, 0, 8, 28",
     "wk-1/0, anything, wk-1 is cancelled, 0, 4, 32",
     "anything, anything, nothing, 0, 8, 56",
@@ -110,20 +111,21 @@
       String event,
       double launched,
       double possible,
-      double possiblyHeld) {
+      double unattributed) {
     addRegistered("host-1", first);
     addRegistered("host-2", second);
     addOpenJob("wk-1");
     addOpenJob("wk-2");
     applyEvent(event);
     assertEquals(
-        new QuotaUsage.Amounts(launched, launched, possible, possiblyHeld, LIMIT_CPUS),
+        new QuotaUsage.Amounts(launched, launched, possible, unattributed, LIMIT_CPUS),
         countedCpus());
   }
 
   /**
-   * What an old heartbeat shows ends with the next one; the entry of the other machine still
-   * counts.
+   * Guards against a possible task that no longer counts because an old heartbeat of another
+   * machine showed it for a while. The attempt ends with that machine's next heartbeat, but the
+   * registry entry of the first machine still counts.
    */
   @ParameterizedTest
   @CsvSource({"nothing, 4", "wk-1 is cancelled, 4"})
