--- a/src/main/java/org/saffronshore/cluster/CommandBuilder.java
+++ b/src/main/java/org/saffronshore/cluster/CommandBuilder.java
@@ -40,7 +40,11 @@
     return false;
   }
 
-  /** Returns the commands for a direct batch and adds the attempts that it launches to a list. */
+  /**
+   * Returns the commands for a direct batch.
+   *
+   * @param launches the list to which the attempts that the batch launches are added
+   */
   List<Command> directCommands(Machine machine, List<Attempt> launches) {
     List<Command> commands = new ArrayList<>();
     if (machine.isReconciled()) {
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -60,12 +60,12 @@
       MachineTable machines,
       Reconciliation reconciliation,
       Map<String, Team> teams,
-      SchedulingSettings tuning) {
+      SchedulingSettings settings) {
     this.jobs = jobs;
     this.machines = machines;
     this.reconciliation = reconciliation;
     this.teams = teams;
-    this.settings = tuning;
+    this.settings = settings;
   }
 
   /**
@@ -78,8 +78,8 @@
       MachineTable machines,
       Reconciliation reconciliation,
       Map<String, Team> teams,
-      SchedulingSettings tuning) {
-    QuotaAccounting usage = new QuotaAccounting(jobs, machines, reconciliation, teams, tuning);
+      SchedulingSettings settings) {
+    QuotaAccounting usage = new QuotaAccounting(jobs, machines, reconciliation, teams, settings);
     machines.all().forEach(usage::addAttempts);
     reconciliation.machines().forEach(usage::addPossibleTasks);
     usage.addTotalsToTeams();
