--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -121,10 +121,7 @@
     return startedAt;
   }
 
-  /**
-   * Returns whether there has been a change since the last call that may allow a task to be placed,
-   * and resets this state.
-   */
+  /** Returns, and resets, whether there has been a change that may allow a task to be placed. */
   public boolean consumeChanged() {
     boolean wasChanged = changed;
     changed = false;
@@ -149,8 +146,7 @@
   }
 
   /**
-   * Adds an open job. All jobs of earlier terms must be added before the first heartbeat is
-   * received.
+   * Adds an open job. All jobs of earlier terms must be added before the first heartbeat.
    *
    * @param launchWatermark the index from which on no task has ever been launched
    */
@@ -186,12 +182,7 @@
     return jobs.dependencies();
   }
 
-  /**
-   * Records the outcome of a job on which other jobs may depend. Some of these may become ready.
-   *
-   * @param done whether the job has completed; if false, it has ended otherwise
-   * @param atMs the wall-clock time at which the job ended
-   */
+  /** Records the outcome of a job. Jobs that depend on it may become ready. */
   public void jobEnded(String id, boolean done, long atMs) {
     jobs.jobEnded(id, done, atMs);
   }
@@ -201,10 +192,7 @@
     return jobs.unsavedJobs();
   }
 
-  /**
-   * Records that the state service has stored these finished tasks. Workers may now forget their
-   * attempts.
-   */
+  /** Records that the state service has stored these tasks; workers may forget their attempts. */
   public void finishedTasksSaved(Job job, BitSet tasks) {
     jobs.finishedTasksSaved(job, tasks);
   }
@@ -214,18 +202,12 @@
     return jobs.completedJobs();
   }
 
-  /**
-   * Returns the jobs with placed tasks that cannot be launched before a higher launch watermark has
-   * been written.
-   */
+  /** Returns the jobs with placed tasks that wait for a higher launch watermark to be written. */
   public Set<Job> jobsAwaitingLaunchWatermark() {
     return jobs.awaitingLaunchWatermark();
   }
 
-  /**
-   * Records that the state service has stored a launch watermark of the job, so that tasks below it
-   * may be launched.
-   */
+  /** Records that a launch watermark has been stored: tasks of the job below it may be launched. */
   public void launchWatermarkSaved(Job job, int launchWatermark) {
     jobs.launchWatermarkSaved(job, launchWatermark);
     job.placedAttempts().forEach(attempt -> commandQueue.markDue(attempt.machine()));
@@ -287,10 +269,7 @@
     return unresponsiveMachines;
   }
 
-  /**
-   * Adds a machine to which an earlier leader has, or may have, assigned tasks; see {@link
-   * MachineLifecycle#addRegistered}.
-   */
+  /** Adds a machine of an earlier leader's registry; see {@link MachineLifecycle#addRegistered}. */
   public void addRegistered(String id, double ageS, @Nullable Set<TaskId> possibleTasks) {
     machineLifecycle.addRegistered(id, ageS, possibleTasks);
   }
@@ -305,10 +284,7 @@
     machineLifecycle.machineListed(listed);
   }
 
-  /**
-   * Removes the machines that are missing from a complete list of the cloud; see {@link
-   * MachineLifecycle#removeUnlisted}.
-   */
+  /** Removes machines that a complete list lacks; see {@link MachineLifecycle#removeUnlisted}. */
   public void removeUnlisted(Set<String> ids, double requestedAt) {
     machineLifecycle.removeUnlisted(ids, requestedAt);
   }
@@ -352,10 +328,7 @@
     return heartbeats.heartbeatReceived(heartbeat);
   }
 
-  /**
-   * Applies the status in a worker's response to a direct command. Unlike a heartbeat, the exchange
-   * does not renew the worker's lease.
-   */
+  /** Applies the status in a response to a direct command, which does not renew the lease. */
   public void directStatusReceived(Machine machine, Heartbeat status) {
     heartbeats.directStatusReceived(machine, status);
   }
@@ -382,10 +355,7 @@
     attempts.preempt(task, machineId, detail);
   }
 
-  /**
-   * Drains a machine: stops its tasks, with a grace period for those that support checkpoints, so
-   * that they continue on other machines.
-   */
+  /** Stops a machine's tasks, with time to save their progress, so that they go on elsewhere. */
   public void drain(Machine machine) {
     attempts.drain(machine);
   }
