--- a/src/main/java/org/saffronshore/cluster/CommandQueue.java
+++ b/src/main/java/org/saffronshore/cluster/CommandQueue.java
@@ -4,35 +4,35 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** Machines that have, or may have, commands to be sent; the one that has waited longest first. */
+/** A FIFO queue, without duplicates, of the machines that have or may have commands to be sent. */
 final class CommandQueue {
   private final CommandBuilder commandBuilder;
-  private final Set<Machine> due = new LinkedHashSet<>();
+  private final Set<Machine> dueMachines = new LinkedHashSet<>();
 
   CommandQueue(CommandBuilder commandBuilder) {
     this.commandBuilder = commandBuilder;
   }
 
-  /** The machine has, or may have, commands; one that waits already keeps its place. */
+  /** Queues a machine that has or may have commands. A machine in the queue keeps its position. */
   void markDue(Machine machine) {
-    due.add(machine);
+    dueMachines.add(machine);
   }
 
-  /** Queues the machine if it has commands. */
-  void markDueIfAny(Machine machine) {
+  /** Queues the machine if there is anything to send to it. */
+  void markDueIfHasCommands(Machine machine) {
     if (commandBuilder.hasCommands(machine)) {
-      due.add(machine);
+      dueMachines.add(machine);
     }
   }
 
-  /** Takes the machine that has waited longest; null when none waits. */
+  /** Removes and returns the machine that has waited longest, or null if the queue is empty. */
   @Nullable Machine poll() {
-    var first = due.iterator();
-    if (!first.hasNext()) {
+    var machines = dueMachines.iterator();
+    if (!machines.hasNext()) {
       return null;
     }
-    Machine machine = first.next();
-    first.remove();
+    Machine machine = machines.next();
+    machines.remove();
     return machine;
   }
 }
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -17,19 +17,20 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Heartbeats that arrive late, or again. */
+/** Tests heartbeats that arrive late or more than once. */
 class LateHeartbeatTest extends ClusterTestBase {
   /**
-   * Epoch, sequence and shown state of a copy that must not change a task which runs on host-1 in
-   * epoch 2 of this term.
+   * A late copy of a heartbeat must not change a task that runs on host-1 in epoch 2. The
+   * parameters are the epoch, the sequence and the shown task state of the copy.
    */
   @ParameterizedTest
   @CsvSource({"2, 5, EXITED", "2, 5, none", "1, 90, none", "1, 90, RUNNING", "2, 9, none"})
-  void lateCopyOfHeartbeatDoesNotChangeRunningTask(long epoch, long sequenceNumber, String shows) {
+  void lateCopyOfHeartbeatDoesNotChangeRunningTask(
+      long epoch, long sequenceNumber, String shownState) {
     cluster.heartbeatReceived(heartbeat("host-1", 2, 1, TERM));
     Machine machine = machine("host-1");
     cluster.registry().markRegistered(List.of(machine));
-    job(101);
+    addJob(101);
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat.TaskStatus running =
         taskStatus("wk-1", 0, attempt, TaskState.RUNNING, ExitReason.NONE);
@@ -37,26 +38,30 @@
         new Heartbeat(
             "host-1", "10.1.0.1:9000", "big", "a", true, 2, 9, TERM, 60.0, List.of(running)));
     Heartbeat copy =
-        shows.equals("none")
+        shownState.equals("none")
             ? heartbeat("host-1", epoch, sequenceNumber, TERM)
             : heartbeat(
                 "host-1",
                 epoch,
                 sequenceNumber,
                 TERM,
-                taskStatus("wk-1", 0, attempt, TaskState.valueOf(shows), ExitReason.FAILED));
+                taskStatus("wk-1", 0, attempt, TaskState.valueOf(shownState), ExitReason.FAILED));
     cluster.heartbeatReceived(copy);
     assertEquals(1, openJob("wk-1").runningTaskCount());
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     assertEquals(2, machine.epochs().epoch());
-    assertTrue(machine.hasPreemptionNotice(), "a notice is not undone");
+    assertTrue(machine.hasPreemptionNotice(), "a preemption notice is never revoked");
   }
 
-  /** Copies hold what a lost machine had for a lease from its last true word, and no longer. */
+  /**
+   * Guards against copies of the last heartbeat of a lost machine that keep it up, so that its
+   * tasks are never placed again. The tasks stay on it for one lease after the original heartbeat,
+   * and no longer.
+   */
   @Test
-  void copiesOfHeartbeatDoNotExtendTheLeaseOfLostMachine() {
-    Machine machine = up("host-1");
-    job(101);
+  void copiesOfHeartbeatDoNotExtendLeaseOfLostMachine() {
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     long attempt = launch(machine).launches().get(0).number();
     Heartbeat last =
         heartbeat(
@@ -70,26 +75,27 @@
       loop.pass(1);
       cluster.heartbeatReceived(last);
       cluster.expireLeases();
-      assertFalse(placeable(), "its lease may run");
+      assertFalse(hasPlaceableJob(), "the lease may still be valid");
     }
     loop.pass(1);
     cluster.heartbeatReceived(last);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     cluster.heartbeatReceived(last);
-    assertTrue(placeable(), "a copy over a lease old brings nothing back");
+    assertTrue(hasPlaceableJob(), "a copy older than a lease does not restore the task");
     assertFalse(machine.isSchedulable(loop.now()));
     assertEquals(0, cluster.view().schedulableMachines().size());
   }
 
   /**
-   * The response to a late heartbeat may still arrive in time, and so renews the lease from when it
-   * was sent.
+   * Guards against a task that is placed again while its worker still holds a lease. The response
+   * to a late heartbeat may still arrive in time, in which case the lease is renewed from the time
+   * at which the heartbeat was sent.
    */
   @Test
-  void lateHeartbeatRenewsTheLeaseFromWhenItWasSent() {
-    Machine machine = up("host-1");
-    job(101);
+  void lateHeartbeatRenewsLeaseFromSendTime() {
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     CommandBatch batch = launch(machine);
     loop.pass(TestData.LEASE_S - 1);
     Heartbeat.TaskStatus running =
@@ -99,59 +105,67 @@
     loop.pass(2);
     cluster.heartbeatReceived(heartbeat("host-1", 1, 59, TERM));
     cluster.expireLeases();
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     loop.pass(TestData.LEASE_S + 1);
     cluster.expireLeases();
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   @Test
-  void copyOfHeartbeatDoesNotBringRemovedMachineBack() {
-    Machine machine = up("host-1");
+  void copyOfHeartbeatDoesNotAddRemovedMachineAgain() {
+    Machine machine = addUpMachine("host-1");
     cluster.machineRemoved(machine, "returned");
     assertNull(cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)));
     assertNull(cluster.machine("host-1"));
   }
 
   /**
-   * After a failover nothing newer is known: a copy of long ago must not count as free capacity.
+   * Guards against an old copy of a heartbeat that counts as free capacity: after a failover, the
+   * new leader knows no newer heartbeat of the machine.
    */
   @Test
-  void machineKnownByOldHeartbeatOnlyIsNoCapacity() {
+  void machineKnownOnlyByOldHeartbeatDoesNotCountAsCapacity() {
     cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM - 2));
     assertEquals(0, cluster.view().schedulableMachines().size());
     loop.pass(10);
     assertEquals(
         0,
         cluster.view().machineTimelines(1.6, true).size(),
-        "nor is it counted on when machines are rented");
+        "the autoscaler must not rely on the machine either");
     cluster.removeUnlisted(Set.of(), loop.now() + 20);
     assertNull(cluster.machine("host-1"));
   }
 
-  /** A copy shows a task where it is not any more; it must not be stopped where it truly runs. */
+  /**
+   * Guards against stopping a running task because a late copy of a heartbeat shows it on a machine
+   * where it no longer is.
+   */
   @Test
   void copyOfHeartbeatDoesNotStopTaskOnReconciledMachine() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
-    job(1);
-    Heartbeat.TaskStatus old = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
-    Heartbeat.TaskStatus now = taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
-    cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, old));
-    cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, now));
+    addJob(1);
+    Heartbeat.TaskStatus oldStatus = taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE);
+    Heartbeat.TaskStatus currentStatus =
+        taskStatus("wk-1", 0, 8, TaskState.RUNNING, ExitReason.NONE);
+    cluster.heartbeatReceived(heartbeat("host-1", 1, 5, TERM - 1, oldStatus));
+    cluster.heartbeatReceived(heartbeat("host-2", 1, 1, TERM, currentStatus));
     Machine second = machine("host-2");
     assertFalse(second.attempts().iterator().next().isStopping());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 90, TERM));
-    assertFalse(placeable(), "it runs on host-2");
+    assertFalse(hasPlaceableJob(), "the task runs on host-2");
     assertEquals(1, openJob("wk-1").runningTaskCount());
   }
 
-  /** What is in two places is stopped in one; and only when it is in neither may it start again. */
+  /**
+   * A task that two machines show is stopped on one of them. It may be placed again only when it is
+   * on neither.
+   */
   @Test
   void taskOnTwoMachinesIsStoppedOnOneAndPlaceableWhenOnNeither() {
     cluster.addRegistered("host-1", 60, null);
     cluster.addRegistered("host-2", 60, null);
-    job(1);
+    addJob(1);
     cluster.heartbeatReceived(
         heartbeat(
             "host-1", 1, 5, TERM, taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
@@ -166,8 +180,8 @@
             .filter(machine -> machine.attempts().iterator().next().isStopping())
             .count());
     cluster.heartbeatReceived(heartbeat("host-1", 1, 6, TERM));
-    assertFalse(placeable());
+    assertFalse(hasPlaceableJob());
     cluster.heartbeatReceived(heartbeat("host-2", 1, 6, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 }
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -37,8 +37,8 @@
   })
   void unresponsiveMachineIsNotSchedulableAndIsReturned(
       String scenario, boolean schedulable, boolean returned) {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     long epoch = 1;
     if (scenario.startsWith("launch")) {
       CommandBatch batch = launchWithUnknownDelivery(machine);
@@ -87,9 +87,9 @@
   @CsvSource({"true, true", "false, false"})
   void controllerPauseDoesNotMakeMachinesSilentOrUnresponsive(
       boolean pauseDetected, boolean schedulable) {
-    job(101);
-    Machine machine = up("host-1");
-    Machine other = up("host-2");
+    addJob(101);
+    Machine machine = addUpMachine("host-1");
+    Machine other = addUpMachine("host-2");
     CommandBatch batch = launch(other);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
     loop.standStill(10);
@@ -120,17 +120,18 @@
   @Test
   void olderJobWaitsForMachineThatNeverReconcilesUntilItIsRemoved() {
     cluster.addRegistered("host-1", 60, null);
-    job(1);
+    addJob(1);
     for (int i = 0; i < 8; i++) {
       cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM - 1));
       cluster.unresponsiveMachines().detect();
       loop.pass(3);
     }
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM - 1));
-    assertFalse(placeable(), "a launch by an earlier leader that knew this epoch may still arrive");
+    assertFalse(
+        hasPlaceableJob(), "a launch by an earlier leader that knew this epoch may still arrive");
     assertTrue(cluster.unresponsiveMachines().isUnusable(machine("host-1")));
     cluster.machineRemoved(machine("host-1"), "returned");
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
   }
 
   /**
@@ -139,13 +140,13 @@
    */
   @Test
   void newEpochOfUnresponsiveMachineLetsItsLaunchedTasksBePlacedAgain() {
-    Machine machine = up("host-1");
-    job(101);
+    Machine machine = addUpMachine("host-1");
+    addJob(101);
     launchWithUnknownDelivery(machine);
     cluster.heartbeatReceived(heartbeat("host-1", 1, ++sequence, TERM));
-    assertFalse(placeable(), "the launch may still arrive");
+    assertFalse(hasPlaceableJob(), "the launch may still arrive");
     cluster.heartbeatReceived(heartbeat("host-1", 2, ++sequence, TERM));
-    assertTrue(placeable());
+    assertTrue(hasPlaceableJob());
     assertFalse(machine.isSchedulable(loop.now()), "the machine itself remains unresponsive");
   }
 
@@ -154,7 +155,7 @@
   void noMachineIsUnusableWhenManySeemUnresponsive() {
     List<Machine> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(up("host-" + i));
+      all.add(addUpMachine("host-" + i));
     }
     for (Machine machine : all) {
       cluster.heartbeatReceived(heartbeat(machine.id(), 2, ++sequence, TERM));
