--- a/src/test/java/org/saffronshore/compatibility/StoredFormsTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredFormsTest.java
@@ -157,7 +157,7 @@
    * Adds a machine with room for four tasks, whose heartbeats begin after one second, and lets 4 s
    * pass.
    */
-  private static SimulatedWorker addReportingMachine(
+  private static SimulatedWorker addMachineSendingHeartbeats(
       SimulatedCluster cluster, ControllerUnderTest controller) {
     SimulatedWorker worker = cluster.addMachine("host-1", "a");
     worker.startHeartbeatsTo(controller);
@@ -180,7 +180,7 @@
             "{'wk-1/0':'AQ==','wk-2/0':'Ag=='}",
             "j/wk-3",
             openJob("wk-3", 1));
-    SimulatedWorker worker = addReportingMachine(cluster, controller);
+    SimulatedWorker worker = addMachineSendingHeartbeats(cluster, controller);
     worker.endTask("wk-3/0", "done");
     worker.endTask("wk-1/2", "done");
     cluster.loop.pass(3);
@@ -193,7 +193,7 @@
             openJob("wk-1", 32_771),
             "p/0",
             "{'wk-1/0':'" + FULLY_FINISHED_CHUNK + "','wk-1/1':'AQ=='}");
-    addReportingMachine(cluster, controller).endTask("wk-1/32769", "done");
+    addMachineSendingHeartbeats(cluster, controller).endTask("wk-1/32769", "done");
     cluster.loop.pass(3);
   }
 
@@ -202,7 +202,7 @@
     settings.withObject("/cluster/state").put("value_kb", 1);
     cluster.put("j/wk-1", openJob("wk-1", 5000));
     ControllerUnderTest controller = cluster.startController(settings);
-    SimulatedWorker worker = addReportingMachine(cluster, controller);
+    SimulatedWorker worker = addMachineSendingHeartbeats(cluster, controller);
     worker.endTask("wk-1/0", "done");
     worker.endTask("wk-1/2", "done");
     cluster.loop.pass(3);
@@ -212,14 +212,14 @@
     ControllerUnderTest controller =
         cluster.startLeader(
             "j/wk-1", openJob("wk-1", 2), "j/wk-2", openJob("wk-2", 1), "b/0", "{}");
-    addReportingMachine(cluster, controller);
+    addMachineSendingHeartbeats(cluster, controller);
   }
 
   private static void silenceOneOfTwoMachines(SimulatedCluster cluster) {
     ControllerUnderTest controller =
         cluster.startLeader("j/wk-1", openJob("wk-1", 2, ",'Depot':'a'"));
     cluster.addMachine("host-2", "b").startHeartbeatsTo(controller);
-    SimulatedWorker worker = addReportingMachine(cluster, controller);
+    SimulatedWorker worker = addMachineSendingHeartbeats(cluster, controller);
     worker.silent = true;
     cluster.loop.pass(7);
   }
