--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -69,7 +69,7 @@
     jobs.put(spec.id(), job);
     dependencies.add(spec.id(), spec.priority(), spec.dependencies());
     if (spec.dependencies().isEmpty()) {
-      arrivals.jobArrived(spec, version > termVersion, loop.now());
+      arrivals.recordJob(spec, version > termVersion, loop.now());
     } else {
       job.waitForDependencies();
       updateReadiness(job);
@@ -101,7 +101,7 @@
     if (!job.isReady() && dependencies.isReady(job.id())) {
       LOG.debug("All dependencies are done: job={}", job.id());
       job.dependenciesDone(dependencies.readyAtMs(job.id()));
-      arrivals.jobArrived(job.spec(), job.version() > termVersion, loop.now());
+      arrivals.recordJob(job.spec(), job.version() > termVersion, loop.now());
       onChange.run();
     }
   }
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -343,7 +343,7 @@
     if (view == null || view.isModified()) {
       view =
           new MachineView(
-              id, kind(), Resources.capacityOf(machineType), tasks::hasTraceOf, images.images());
+              id, kind(), Resources.capacityOf(machineType), tasks::hasRecordOf, images.images());
       for (Attempt attempt : tasks.attempts()) {
         view.add(
             new PlacedTask(
--- a/src/main/java/org/saffronshore/cluster/MachineTasks.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTasks.java
@@ -58,7 +58,7 @@
   }
 
   /** Whether a task may not be placed here, since a trace of it is still on the machine. */
-  boolean hasTraceOf(TaskId task) {
+  boolean hasRecordOf(TaskId task) {
     return attempts.containsKey(task) || exited.containsKey(task);
   }
 
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -17,7 +17,7 @@
   private static final double EPSILON = 1e-6;
 
   /** A class counts as ended when no job of it has arrived for this many of its usual gaps. */
-  private static final double MAX_GAPS = 3;
+  private static final double MAX_GAPS_SINCE_LAST_ARRIVAL = 3;
 
   /** The jobs of one class. */
   private static final class JobClass {
@@ -45,7 +45,7 @@
       }
     }
 
-    void forgetBefore(double time) {
+    void removeArrivalsBefore(double time) {
       while (!recent.isEmpty() && recent.peekFirst().at < time) {
         recent.removeFirst();
       }
@@ -88,7 +88,7 @@
    * @param arrivedNow whether the job was submitted just now, and not found waiting when the term
    *     began
    */
-  public void jobArrived(JobSpec job, boolean arrivedNow, double now) {
+  public void recordJob(JobSpec job, boolean arrivedNow, double now) {
     classes
         .computeIfAbsent(job.jobClass(), name -> new JobClass(job, now))
         .add(job, arrivedNow, now);
@@ -102,7 +102,7 @@
   public List<SchedulingPlan.UnplacedTasks> expectedTasks(double withinS, double now) {
     List<SchedulingPlan.UnplacedTasks> expected = new ArrayList<>();
     for (JobClass jobClass : classes.values()) {
-      jobClass.forgetBefore(now - 2 * windowS);
+      jobClass.removeArrivalsBefore(now - 2 * windowS);
       int inLastWindow = 0;
       int inWindowBefore = 0;
       for (Arrival arrival : jobClass.recent) {
@@ -129,7 +129,8 @@
   public List<ExpectedJob> expectedJobs(double now, double minGapS) {
     List<ExpectedJob> expected = new ArrayList<>();
     for (JobClass jobClass : classes.values()) {
-      if (now - jobClass.lastAt < MAX_GAPS * Math.max(minGapS, jobClass.meanGapS())) {
+      if (now - jobClass.lastAt
+          < MAX_GAPS_SINCE_LAST_ARRIVAL * Math.max(minGapS, jobClass.meanGapS())) {
         expected.add(new ExpectedJob(jobClass.latest, jobClass.meanTasks()));
       }
     }
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -16,7 +16,7 @@
  * free for those that need them. A pure function.
  */
 public final class DisplacedTasks {
-  private static final double MIN_CPUS = 1e-3;
+  private static final double MIN_CPUS_PER_TASK = 1e-3;
 
   /** So many tasks of a job run on machines of a type. */
   public record Running(String type, JobSpec job, int tasks) {}
@@ -67,7 +67,7 @@
       if (shortage.types.contains(group.type)
           && neededCpus > 0
           && fitsOtherType(job, types, scarce)) {
-        double tasksForNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS));
+        double tasksForNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS_PER_TASK));
         int tasks = (int) Math.min(group.tasks, tasksForNeed);
         displaced.add(new SchedulingPlan.UnplacedTasks(job, tasks));
         neededCpus -= tasks * job.cpus();
--- a/src/main/java/org/saffronshore/fleet/Forecast.java
+++ b/src/main/java/org/saffronshore/fleet/Forecast.java
@@ -52,7 +52,7 @@
     }
 
     /** When a task of the job could start, or infinity when that is after the limit. */
-    private double startOf(JobSpec job, double limit) {
+    private double earliestStart(JobSpec job, double limit) {
       if (free.fits(job)) {
         return freeFrom;
       }
@@ -74,7 +74,7 @@
       return Double.POSITIVE_INFINITY;
     }
 
-    /** Starts a task at a moment that {@link #startOf} has given. */
+    /** Starts a task at a moment that {@link #earliestStart} has given. */
     private void place(JobSpec job, double start, double runtimeS) {
       while (!free.fits(job) && !releases.isEmpty()) {
         free.add(releases.remove(releases.size() - 1).job);
@@ -160,7 +160,7 @@
       int machine,
       JobSpec job,
       double limit) {
-    double at = timelines.get(machine).startOf(job, limit);
+    double at = timelines.get(machine).earliestStart(job, limit);
     if (at <= limit) {
       starts.add(new Start(at, machine));
     }
--- a/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
+++ b/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
@@ -17,10 +17,10 @@
 /** Calculates what to rent for tasks that found no place. A pure function. */
 public final class ScaleOutPlan {
   /** A machine with fewer CPUs free counts as full. */
-  private static final double FULL_CPUS = 1e-6;
+  private static final double MIN_FREE_CPUS = 1e-6;
 
   /** Tasks count with at least this many CPUs, so that a machine's value is never 0. */
-  private static final double MIN_CPUS = 1e-3;
+  private static final double MIN_CPUS_PER_TASK = 1e-3;
 
   /** A machine that the plan adds. */
   private static final class PlannedMachine {
@@ -83,20 +83,20 @@
     largestFirst.sort(
         Comparator.comparingDouble((SchedulingPlan.UnplacedTasks tasks) -> -tasks.job().cpus()));
     for (int i = 0; i < largestFirst.size(); i++) {
-      plan.add(largestFirst, i);
+      plan.planMachinesFor(largestFirst, i);
     }
     return plan.orders;
   }
 
   /** Plans machines for one group of tasks, after the groups before it. */
-  private void add(List<SchedulingPlan.UnplacedTasks> groups, int index) {
+  private void planMachinesFor(List<SchedulingPlan.UnplacedTasks> groups, int index) {
     JobSpec job = groups.get(index).job();
     int left = groups.get(index).tasks();
     for (PlannedMachine machine : machines) {
       left -= machine.place(job, left);
     }
     while (left > 0) {
-      Candidate candidate = cheapest(groups, index, left);
+      Candidate candidate = cheapestCandidate(groups, index, left);
       if (candidate == null) {
         return;
       }
@@ -113,7 +113,7 @@
    * The candidate with the lowest price for the CPUs of the remaining tasks, from this group on,
    * that it would hold; null when nothing available takes a task of this group.
    */
-  private @Nullable Candidate cheapest(
+  private @Nullable Candidate cheapestCandidate(
       List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
     JobSpec job = groups.get(index).job();
     Candidate cheapest = null;
@@ -123,7 +123,7 @@
         continue;
       }
       for (boolean spot : new boolean[] {false, true}) {
-        MachineKind kind = kindInSmallestZone(type, spot, job);
+        MachineKind kind = kindInZoneWithFewestMachines(type, spot, job);
         if (kind == null) {
           continue;
         }
@@ -143,16 +143,17 @@
       Candidate candidate, List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
     PlannedMachine machine = new PlannedMachine(candidate.kind, candidate.type);
     double cpus = 0;
-    for (int i = index; i < groups.size() && machine.free.cpus > FULL_CPUS; i++) {
+    for (int i = index; i < groups.size() && machine.free.cpus > MIN_FREE_CPUS; i++) {
       JobSpec job = groups.get(i).job();
       int tasks = i == index ? left : groups.get(i).tasks();
-      cpus += machine.place(job, tasks) * Math.max(job.cpus(), MIN_CPUS);
+      cpus += machine.place(job, tasks) * Math.max(job.cpus(), MIN_CPUS_PER_TASK);
     }
     return cpus;
   }
 
   /** The kind in the zone with the fewest machines; null when no zone has one for the job. */
-  private @Nullable MachineKind kindInSmallestZone(MachineType type, boolean spot, JobSpec job) {
+  private @Nullable MachineKind kindInZoneWithFewestMachines(
+      MachineType type, boolean spot, JobSpec job) {
     MachineKind best = null;
     for (String zone : type.zones()) {
       MachineKind kind = new MachineKind(type.name(), zone, spot);
--- a/src/main/java/org/saffronshore/scheduling/Eviction.java
+++ b/src/main/java/org/saffronshore/scheduling/Eviction.java
@@ -31,7 +31,7 @@
         Team owner = queues.team(task.job().team());
         if (owner != null
             && !belowGuarantee.contains(owner.name())
-            && owner.beyondGuarantee(task.job())) {
+            && owner.isGuaranteeMetWithout(task.job())) {
           machine.evict(task);
           owner.removeFromShare(task.job(), settings);
           queues.addEvicted(owner, new QueueEntry.Evicted(task, machine));
--- a/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
+++ b/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
@@ -13,8 +13,8 @@
  * tried. With a long queue on a full cluster that saves most of the work.
  */
 final class FailedPlacements {
-  private final List<JobSpec> fitNowhere = new ArrayList<>();
-  private final Set<VictimSearch> withoutVictims = new HashSet<>();
+  private final List<JobSpec> unplaceableJobs = new ArrayList<>();
+  private final Set<VictimSearch> searchesWithoutVictims = new HashSet<>();
 
   /** All that the search for victims depends on, other than constraints on the job's own tasks. */
   private record VictimSearch(
@@ -43,8 +43,8 @@
   }
 
   /** Whether a job that requires no more than this one fits on no machine. */
-  boolean isKnownToFitNowhere(JobSpec job) {
-    for (JobSpec failed : fitNowhere) {
+  boolean isKnownUnplaceable(JobSpec job) {
+    for (JobSpec failed : unplaceableJobs) {
       if (job.requiresAtLeast(failed)) {
         return true;
       }
@@ -52,27 +52,28 @@
     return false;
   }
 
-  void addFitsNowhere(JobSpec job) {
-    fitNowhere.add(job);
+  void addUnplaceable(JobSpec job) {
+    unplaceableJobs.add(job);
   }
 
   /** Whether a search like this one found no tasks to preempt. */
   boolean isKnownToHaveNoVictims(JobSpec job, boolean guaranteed) {
-    return !withoutVictims.isEmpty() && withoutVictims.contains(VictimSearch.of(job, guaranteed));
+    return !searchesWithoutVictims.isEmpty()
+        && searchesWithoutVictims.contains(VictimSearch.of(job, guaranteed));
   }
 
-  void addNoVictims(JobSpec job, boolean guaranteed) {
-    withoutVictims.add(VictimSearch.of(job, guaranteed));
+  void addSearchWithoutVictims(JobSpec job, boolean guaranteed) {
+    searchesWithoutVictims.add(VictimSearch.of(job, guaranteed));
   }
 
   /** A team's share has grown: more of its tasks may be beyond its guarantee, and be preempted. */
-  void onShareGrown() {
-    withoutVictims.clear();
+  void onTeamShareIncreased() {
+    searchesWithoutVictims.clear();
   }
 
   /** Tasks are to be preempted: there is room where there was none. */
-  void onRoomMade() {
-    fitNowhere.clear();
-    withoutVictims.clear();
+  void onTasksPreempted() {
+    unplaceableJobs.clear();
+    searchesWithoutVictims.clear();
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/FairShareOrder.java
+++ b/src/main/java/org/saffronshore/scheduling/FairShareOrder.java
@@ -55,7 +55,7 @@
         new Head(
             queue,
             entry.isOverdue(),
-            team.withinGuarantee(job),
+            team.isWithinGuaranteeWith(job),
             job.priority().rank(),
             team.fractionOfShareWith(settings.cost(job))));
   }
--- a/src/main/java/org/saffronshore/scheduling/MachineSelector.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineSelector.java
@@ -30,7 +30,7 @@
   /** The best machine for the task, or null when it fits nowhere. */
   @Nullable MachineView select(PendingJob pending, TaskId task) {
     JobSpec job = pending.job();
-    if (failures.isKnownToFitNowhere(job)) {
+    if (failures.isKnownUnplaceable(job)) {
       return null;
     }
     MachineView best = null;
@@ -47,7 +47,7 @@
     }
     // What was excluded for this task may suit one of another job.
     if (best == null && !excludedAny) {
-      failures.addFitsNowhere(job);
+      failures.addUnplaceable(job);
     }
     return best;
   }
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -34,11 +34,11 @@
   private final Resources freeAfterStops;
   private final List<PlacedTask> preemptibleTasks = new ArrayList<>();
   private final Map<String, Integer> tasksPerTeam = new HashMap<>(8);
-  private final Predicate<TaskId> hasTraceOf;
+  private final Predicate<TaskId> hasRecordOf;
   private final Set<String> images;
 
   /** The lowest rank of a priority among the preemptible tasks; may be too low after evictions. */
-  private int lowestPriority = Integer.MAX_VALUE;
+  private int lowestPriorityRank = Integer.MAX_VALUE;
 
   private boolean modified;
   private boolean reserved;
@@ -47,21 +47,21 @@
    * A machine without tasks.
    *
    * @param capacity all that it has; becomes what is free now, and is changed
-   * @param hasTraceOf tasks that may not be placed here
+   * @param hasRecordOf tasks that may not be placed here
    * @param images what it holds; may change between cycles, but not in one
    */
   public MachineView(
       String id,
       MachineKind kind,
       Resources capacity,
-      Predicate<TaskId> hasTraceOf,
+      Predicate<TaskId> hasRecordOf,
       Set<String> images) {
     this.id = id;
     this.kind = kind;
     this.totalCpus = capacity.cpus;
     this.freeNow = capacity;
     this.freeAfterStops = capacity.copy();
-    this.hasTraceOf = hasTraceOf;
+    this.hasRecordOf = hasRecordOf;
     this.images = images;
   }
 
@@ -73,7 +73,7 @@
       tasksPerTeam.merge(task.job().team(), 1, Integer::sum);
       if (!task.exemptFromPreemption()) {
         preemptibleTasks.add(task);
-        lowestPriority = Math.min(lowestPriority, task.job().priority().rank());
+        lowestPriorityRank = Math.min(lowestPriorityRank, task.job().priority().rank());
       }
     }
   }
@@ -114,12 +114,12 @@
   }
 
   /** Whether it may have preemptible tasks of a priority below this one. */
-  boolean hasTasksBelow(Priority priority) {
-    return lowestPriority < priority.rank();
+  boolean mayHaveTasksBelow(Priority priority) {
+    return lowestPriorityRank < priority.rank();
   }
 
   /** Whether it has tasks of any other team. */
-  boolean hasOtherTeams(String team) {
+  boolean hasTasksOfOtherTeams(String team) {
     return tasksPerTeam.size() > 1 || (tasksPerTeam.size() == 1 && !tasksPerTeam.containsKey(team));
   }
 
@@ -150,8 +150,8 @@
     return reserved;
   }
 
-  boolean hasTraceOf(TaskId task) {
-    return hasTraceOf.test(task);
+  boolean hasRecordOf(TaskId task) {
+    return hasRecordOf.test(task);
   }
 
   boolean hasImage(String image) {
@@ -162,6 +162,6 @@
     if (tasksPerTeam.isEmpty()) {
       return Sharing.EMPTY;
     }
-    return hasOtherTeams(team) ? Sharing.SHARED : Sharing.EXCLUSIVE;
+    return hasTasksOfOtherTeams(team) ? Sharing.SHARED : Sharing.EXCLUSIVE;
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
+++ b/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
@@ -15,13 +15,13 @@
 
   /** Reserves a machine for the task, if one is large enough when empty. */
   static void reserve(Collection<MachineView> machines, PendingJob pending, TaskId task) {
-    MachineView machine = withMostRoom(machines, pending, task);
+    MachineView machine = machineWithMostFreeCpus(machines, pending, task);
     if (machine != null) {
       machine.reserve();
     }
   }
 
-  private static @Nullable MachineView withMostRoom(
+  private static @Nullable MachineView machineWithMostFreeCpus(
       Collection<MachineView> machines, PendingJob pending, TaskId task) {
     JobSpec job = pending.job();
     MachineView best = null;
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -76,7 +76,7 @@
   }
 
   /** Notes that the next task was placed in a zone. */
-  void nextTaskPlaced(String zone) {
+  void markNextTaskPlaced(String zone) {
     nextTask = waitingTasks.nextSetBit(nextTask + 1);
     remaining--;
     overdue = false;
@@ -87,7 +87,7 @@
 
   /** Whether the zones of the job's other tasks, or the task's past, rule out a machine. */
   boolean isExcludedFrom(MachineView machine, TaskId task) {
-    return !isZoneAllowed(machine.kind().zone()) || machine.hasTraceOf(task);
+    return !isZoneAllowed(machine.kind().zone()) || machine.hasRecordOf(task);
   }
 
   /** Whether one more task of the job may be in this zone, given the job's other tasks. */
--- a/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
@@ -58,15 +58,15 @@
     }
     // What was excluded for this task may suit one of another job.
     if (!excludedAny) {
-      failures.addNoVictims(job, guaranteed);
+      failures.addSearchWithoutVictims(job, guaranteed);
     }
     return null;
   }
 
   /** A cheap test that rules out most machines. */
   private static boolean mayHaveVictims(MachineView machine, JobSpec job, boolean guaranteed) {
-    boolean hasLowerPriority = machine.hasTasksBelow(job.priority());
-    boolean hasOthersForGuarantee = guaranteed && machine.hasOtherTeams(job.team());
+    boolean hasLowerPriority = machine.mayHaveTasksBelow(job.priority());
+    boolean hasOthersForGuarantee = guaranteed && machine.hasTasksOfOtherTeams(job.team());
     return (hasLowerPriority || hasOthersForGuarantee)
         && machine.kind().allows(job)
         && !machine.isReserved();
--- a/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
@@ -96,15 +96,18 @@
   /** Places one task of the entry; returns true when the entry has nothing more to place. */
   private boolean placeNext(QueueEntry entry, Team team) {
     if (entry instanceof QueueEntry.Evicted evicted) {
-      placeAgain(evicted, team);
+      placeEvicted(evicted, team);
       return true;
     }
     PendingJob pending = ((QueueEntry.Waiting) entry).pending();
     JobSpec job = pending.job();
-    if (!team.withinLimit(job)) {
+    if (!team.isWithinLimitWith(job)) {
       quotaLimited.add(
           new SchedulingPlan.QuotaLimitedTasks(
-              job, pending.remaining(), team.withinLimitIfReconciled(job), team.quotaUsage()));
+              job,
+              pending.remaining(),
+              team.isWithinLimitIfReconciledWith(job),
+              team.quotaUsage()));
       return true;
     }
     TaskId task = new TaskId(job.id(), pending.nextTask());
@@ -124,13 +127,13 @@
     return pending.isEmpty();
   }
 
-  private void placeAgain(QueueEntry.Evicted evicted, Team team) {
+  private void placeEvicted(QueueEntry.Evicted evicted, Team team) {
     JobSpec job = evicted.job();
     MachineView machine = evicted.machine();
     if (machine.freeAfterStops().fits(job)) {
       machine.place(job);
       team.addToShare(job, settings);
-      failures.onShareGrown();
+      failures.onTeamShareIncreased();
     } else {
       preemptions.add(
           new SchedulingPlan.Preemption(
@@ -144,10 +147,10 @@
   private void place(PendingJob pending, TaskId task, MachineView machine, Team team) {
     JobSpec job = pending.job();
     boolean overdue = pending.isOverdue();
-    pending.nextTaskPlaced(machine.kind().zone());
+    pending.markNextTaskPlaced(machine.kind().zone());
     QuotaUsage usageBefore = team.quotaUsage();
     team.addLaunched(job, settings);
-    failures.onShareGrown();
+    failures.onTeamShareIncreased();
     machine.place(job);
     if (machine.freeNow().fits(job)) {
       machine.freeNow().subtract(job);
@@ -158,7 +161,7 @@
   /** Makes room for a task by preemption; returns the machine, or null where none has such room. */
   private @Nullable MachineView preempt(PendingJob pending, TaskId task, Team team) {
     JobSpec job = pending.job();
-    boolean guaranteed = team.withinGuarantee(job);
+    boolean guaranteed = team.isWithinGuaranteeWith(job);
     PreemptionPlanner.Choice choice = preemptionPlanner.find(pending, task, guaranteed);
     if (choice == null) {
       return null;
@@ -174,7 +177,7 @@
       owner.removeFromShare(victim.job(), settings);
       preemptions.add(new SchedulingPlan.Preemption(victim.task(), machine.id(), reason));
     }
-    failures.onRoomMade();
+    failures.onTasksPreempted();
     return machine;
   }
 }
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -97,16 +97,16 @@
   }
 
   /** Whether the limit lets one more task of the job run. */
-  boolean withinLimit(JobSpec job) {
-    return withinLimit(job, countedCpus(), countedGpus());
+  boolean isWithinLimitWith(JobSpec job) {
+    return isWithinLimitWith(job, countedCpus(), countedGpus());
   }
 
   /** Whether the limit would let one more task run if all machines were reconciled and empty. */
-  boolean withinLimitIfReconciled(JobSpec job) {
-    return withinLimit(job, launched.cpus, launched.gpus);
+  boolean isWithinLimitIfReconciledWith(JobSpec job) {
+    return isWithinLimitWith(job, launched.cpus, launched.gpus);
   }
 
-  private boolean withinLimit(JobSpec job, double usedCpus, double usedGpus) {
+  private boolean isWithinLimitWith(JobSpec job, double usedCpus, double usedGpus) {
     return (quota.maxCpus() <= 0 || usedCpus + job.cpus() <= quota.maxCpus() + Resources.EPSILON)
         && (quota.maxGpus() <= 0 || usedGpus + job.gpus() <= quota.maxGpus() + Resources.EPSILON);
   }
@@ -127,14 +127,14 @@
   }
 
   /** Whether the team with one more task of the job has no more than it is guaranteed. */
-  boolean withinGuarantee(JobSpec job) {
+  boolean isWithinGuaranteeWith(JobSpec job) {
     return (quota.guaranteedCpus() > 0 || quota.guaranteedGpus() > 0)
         && share.cpus + job.cpus() <= quota.guaranteedCpus() + Resources.EPSILON
         && share.gpus + job.gpus() <= quota.guaranteedGpus() + Resources.EPSILON;
   }
 
   /** Whether the team, without this task of its own, still has all that it is guaranteed. */
-  boolean beyondGuarantee(JobSpec job) {
+  boolean isGuaranteeMetWithout(JobSpec job) {
     return !isBelowGuaranteeWithout(job.cpus(), job.gpus());
   }
 
--- a/src/main/java/org/saffronshore/scheduling/TeamQueue.java
+++ b/src/main/java/org/saffronshore/scheduling/TeamQueue.java
@@ -51,7 +51,7 @@
   /** Whether a task that waits would still be within what the team is guaranteed. */
   boolean hasTaskWithinGuarantee() {
     for (QueueEntry entry : entries) {
-      if (team.withinGuarantee(entry.job())) {
+      if (team.isWithinGuaranteeWith(entry.job())) {
         return true;
       }
     }
--- a/src/main/java/org/saffronshore/scheduling/VictimSelector.java
+++ b/src/main/java/org/saffronshore/scheduling/VictimSelector.java
@@ -56,7 +56,7 @@
       Resources preempted = preemptedByTeam.computeIfAbsent(team, name -> Resources.zero());
       preempted.add(candidate.job());
       // Several victims of one team may together reach into its guarantee even if none does alone.
-      if (!yieldsRegardlessOfGuarantee(candidate.job(), job, guaranteed)
+      if (!isPreemptibleRegardlessOfGuarantee(candidate.job(), job, guaranteed)
           && ownerOf(candidate).isBelowGuaranteeWithout(preempted)) {
         preempted.subtract(candidate.job());
         continue;
@@ -87,12 +87,12 @@
 
   private static boolean mayBePreempted(
       JobSpec running, Team owner, JobSpec waiting, boolean guaranteed) {
-    if (yieldsRegardlessOfGuarantee(running, waiting, guaranteed)) {
+    if (isPreemptibleRegardlessOfGuarantee(running, waiting, guaranteed)) {
       return true;
     }
     boolean forGuaranteeOfOther = guaranteed && !running.team().equals(waiting.team());
     return (hasLowerPriority(running, waiting) || forGuaranteeOfOther)
-        && owner.beyondGuarantee(running);
+        && owner.isGuaranteeMetWithout(running);
   }
 
   /**
@@ -100,7 +100,7 @@
    * guarantee. Of two teams only the one within its guarantee may preempt the other's in this way,
    * or they would preempt one another in turn.
    */
-  private static boolean yieldsRegardlessOfGuarantee(
+  private static boolean isPreemptibleRegardlessOfGuarantee(
       JobSpec running, JobSpec waiting, boolean guaranteed) {
     return hasLowerPriority(running, waiting)
         && (guaranteed || running.team().equals(waiting.team()));
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -102,7 +102,7 @@
     cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, ended));
     assertTrue(placeable(), "it is over there");
     assertFalse(ops(cluster.responseCommands(machine)).contains(Command.Action.REAP));
-    assertTrue(machine.tasks().hasTraceOf(TASK), "and must go elsewhere");
+    assertTrue(machine.tasks().hasRecordOf(TASK), "and must go elsewhere");
   }
 
   /** The one task with which an overdue job starts is not preempted for a higher priority. */
--- a/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
+++ b/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
@@ -12,10 +12,10 @@
 
 class ArrivalStatisticsTest {
   @Test
-  void jobOfAClassIsExpectedUntilItsUsualGapIsLongExceeded() {
+  void jobClassIsExpectedUntilItsMeanGapIsExceededSeveralTimes() {
     ArrivalStatistics arrivals = new ArrivalStatistics(20);
     for (int i = 0; i < 4; i++) {
-      arrivals.jobArrived(
+      arrivals.recordJob(
           TestData.job("wk-" + i, "red", Priority.URGENT, 2 + 2 * (i % 2), 4), true, i * 10);
     }
     assertEquals(3, arrivals.expectedJobs(35, 1).get(0).tasks());
@@ -34,11 +34,11 @@
     "false, 60, 0, 0",
     "true, 5, 0, 0"
   })
-  void tasksAreExpectedAtTheRateOfTheLastTwoWindows(
+  void tasksAreExpectedAtLowerRateOfLastTwoWindows(
       boolean arrivedNow, int seconds, double endedAgoS, int expected) {
     ArrivalStatistics arrivals = new ArrivalStatistics(20);
     for (int i = 0; i < seconds; i++) {
-      arrivals.jobArrived(TestData.job("wk-" + i, "red", Priority.URGENT, 4, 4), arrivedNow, i);
+      arrivals.recordJob(TestData.job("wk-" + i, "red", Priority.URGENT, 4, 4), arrivedNow, i);
     }
     int expectedTasks =
         arrivals.expectedTasks(10, seconds + endedAgoS).stream()
--- a/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
+++ b/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
@@ -23,7 +23,7 @@
     "8, 1, '', 0",
     "17, 1, large, 0"
   })
-  void tasksOnAScarceTypeAreDisplacedAsFarAsWaitingTasksNeedIt(
+  void tasksOnScarceTypeAreDisplacedUpToCpusNeededByWaitingTasks(
       double waitingCpus, int waiting, String scarce, int displaced) {
     var displacedTasks =
         DisplacedTasks.find(
--- a/src/test/java/org/saffronshore/fleet/ForecastTest.java
+++ b/src/test/java/org/saffronshore/fleet/ForecastTest.java
@@ -20,7 +20,7 @@
    */
   @ParameterizedTest
   @CsvSource({"10, 1, 0", "39, 1, 0", "41, 1, 1", "10, 3, 1", "10, 2, 0"})
-  void tasksAreLateUnlessARunningTaskReleasesEnoughBeforeANewMachineIsUp(
+  void tasksAreLateUnlessRunningTaskReleasesResourcesBeforeNewMachineBoots(
       double releasedAfterS, int tasks, int late) {
     Resources free = new Resources(8, 0, 64);
     Forecast.MachineTimeline timeline =
--- a/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
+++ b/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
@@ -29,7 +29,7 @@
         "1 | 8 | true  |   | spot large in a | 1 on-demand large in a",
         "1 | 17 | true |  |  | nothing"
       })
-  void cheapestMachinesThatTheJobAllowsAreOrdered(
+  void cheapestMachinesAllowedByJobAreOrdered(
       int tasks, double cpus, boolean spot, String zone, String unavailable, String expected) {
     var orders =
         ScaleOutPlan.orders(
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void zoneWithTheFewestMachinesIsChosen() {
+  void zoneWithFewestMachinesIsChosen() {
     var orders =
         ScaleOutPlan.orders(
             TYPES,
--- a/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
+++ b/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
@@ -23,16 +23,16 @@
     "true, 4, ''",
     "true, 16, standard urgent urgent"
   })
-  void overdueJobGetsOneTaskBeforeUrgentOnesOrReservesTheMachine(
+  void overdueJobPlacesOneTaskBeforeUrgentJobsOrReservesTheMachine(
       boolean overdue, double freeCpus, String placed) {
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
     MachineView machine = addMachine("one", Math.max(8, freeCpus));
     if (freeCpus < 8) {
-      running(machine, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - freeCpus), 0, 1);
+      addRunningTasks(machine, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - freeCpus), 0, 1);
     }
-    PendingJob standard = waiting(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
-    waiting(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
+    PendingJob standard = addWaitingJob(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
+    addWaitingJob(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
     if (overdue) {
       standard.markOverdue();
     }
--- a/src/test/java/org/saffronshore/scheduling/PlacementTest.java
+++ b/src/test/java/org/saffronshore/scheduling/PlacementTest.java
@@ -21,15 +21,15 @@
 class PlacementTest extends SchedulingTestBase {
 
   @Test
-  void machinesAreFilledInTheOrderOwnThenSharedThenEmpty() {
+  void machinesOfTheTeamAreFilledBeforeSharedAndThenEmptyOnes() {
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
     MachineView own = addMachine("own", 8);
     MachineView shared = addMachine("shared", 8);
     addMachine("empty", 8);
-    running(own, TestData.job("wk-1", "F", Priority.STANDARD, 1, 4), 0, 1);
-    running(shared, TestData.job("wk-2", "H", Priority.STANDARD, 1, 4), 0, 1);
-    waiting(TestData.job("wk-3", "F", Priority.STANDARD, 3, 4), 1);
+    addRunningTasks(own, TestData.job("wk-1", "F", Priority.STANDARD, 1, 4), 0, 1);
+    addRunningTasks(shared, TestData.job("wk-2", "H", Priority.STANDARD, 1, 4), 0, 1);
+    addWaitingJob(TestData.job("wk-3", "F", Priority.STANDARD, 3, 4), 1);
     assertEquals(List.of("own", "shared", "empty"), machinesUsed(run(0)));
   }
 
@@ -45,7 +45,7 @@
     "false, false, , true, 6, 2",
     "false, false, , true, 1, 0"
   })
-  void tasksArePlacedOnlyWithinTheJobsConstraintsAndTheTeamsLimit(
+  void tasksArePlacedOnlyWithinJobConstraintsAndTeamLimit(
       boolean singleZone,
       boolean spread,
       @Nullable String zone,
@@ -64,7 +64,7 @@
             .zoneConstraints(singleZone, spread)
             .spot(spot)
             .build();
-    waiting(job, 1);
+    addWaitingJob(job, 1);
     List<String> used = machinesUsed(run(0));
     assertEquals(placed, used.size());
     Map<String, Integer> perZone = new HashMap<>();
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void spreadJobGetsNoMoreTasksInAZoneThatHasItsLimitFromEarlierCycles() {
+  void spreadJobPlacesNoTasksInZoneThatReachedItsLimitInEarlierCycles() {
     addTeam("F", 0, 0);
     addMachine("a", "a", false, 16);
     addMachine("b", "b", false, 16);
@@ -92,10 +92,10 @@
   }
 
   @Test
-  void taskIsNotPlacedOnAMachineThatHasATraceOfIt() {
+  void taskIsNotPlacedOnMachineThatHasARecordOfIt() {
     addTeam("F", 0, 0);
     addMachine("a", "a", false, 16, new TaskId("wk-1", 0));
-    waiting(TestData.job("wk-1", "F", Priority.STANDARD, 2, 1), 1);
+    addWaitingJob(TestData.job("wk-1", "F", Priority.STANDARD, 2, 1), 1);
     assertEquals(
         List.of(),
         run(0).placements().stream().filter(placement -> placement.task().index() == 0).toList());
--- a/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
+++ b/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
@@ -25,7 +25,7 @@
     "G, STANDARD, G, URGENT, true",
     "F, STANDARD, F, STANDARD, false"
   })
-  void runningTaskIsPreemptedOnlyForHigherPriorityOrAnotherTeamsGuarantee(
+  void runningTaskIsPreemptedOnlyForHigherPriorityOrGuaranteeOfAnotherTeam(
       String runningTeam,
       Priority runningPriority,
       String waitingTeam,
@@ -34,8 +34,9 @@
     addTeam("G", 8, 0);
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
-    running(addMachine("one", 8), TestData.job("wk-1", runningTeam, runningPriority, 1, 8), 0, 1);
-    waiting(TestData.job("wk-2", waitingTeam, waitingPriority, 1, 8), 2);
+    addRunningTasks(
+        addMachine("one", 8), TestData.job("wk-1", runningTeam, runningPriority, 1, 8), 0, 1);
+    addWaitingJob(TestData.job("wk-2", waitingTeam, waitingPriority, 1, 8), 2);
     for (double evictionProbability : new double[] {0, 1}) {
       SchedulingPlan plan = run(evictionProbability);
       assertEquals(preempted, !plan.preemptions().isEmpty());
@@ -51,19 +52,20 @@
    * must not start elsewhere on the strength of an eviction that is only in memory.
    */
   @Test
-  void evictedTaskCountsAgainstItsTeamsLimit() {
+  void evictedTaskCountsAgainstTeamLimit() {
     addTeam("F", 0, 16);
     addTeam("G", 8, 0);
-    running(addMachine("one", 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
+    addRunningTasks(
+        addMachine("one", 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
     addMachine("two", 8);
-    waiting(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
-    waiting(JobBuilder.job("wk-3", "G", Priority.STANDARD).cpus(8).zone("b").build(), 2);
+    addWaitingJob(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
+    addWaitingJob(JobBuilder.job("wk-3", "G", Priority.STANDARD).cpus(8).zone("b").build(), 2);
     assertEquals(List.of(), run(1).placements());
   }
 
   /** The texts stand in log lines. */
   @Test
-  void reasonReadsAsTheTextForTheLog() {
+  void preemptionReasonIsFormattedForLogLines() {
     assertEquals(
         List.of("another team's guarantee", "the guarantee of G", "higher priority of wk-1"),
         List.of(
--- a/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -27,7 +27,9 @@
 
   /** A queue entry: a pending job, or one evicted task that may only return to its own machine. */
   private record Entry(
-      @Nullable PendingJob pending, @Nullable PlacedTask evicted, @Nullable MachineView home) {
+      @Nullable PendingJob pending,
+      @Nullable PlacedTask evicted,
+      @Nullable MachineView evictedFrom) {
     JobSpec job() {
       return evicted != null ? evicted.job() : Objects.requireNonNull(pending).job();
     }
@@ -103,7 +105,7 @@
     Set<String> belowGuarantee = new HashSet<>();
     queues.forEach(
         (name, queue) -> {
-          if (queue.stream().anyMatch(entry -> team(name).withinGuarantee(entry.job()))) {
+          if (queue.stream().anyMatch(entry -> team(name).isWithinGuaranteeWith(entry.job()))) {
             belowGuarantee.add(name);
           }
         });
@@ -118,7 +120,9 @@
       for (PlacedTask task : List.copyOf(machine.preemptibleTasks())) {
         String name = task.job().team();
         Team owner = teams.get(name);
-        if (owner == null || belowGuarantee.contains(name) || !owner.beyondGuarantee(task.job())) {
+        if (owner == null
+            || belowGuarantee.contains(name)
+            || !owner.isGuaranteeMetWithout(task.job())) {
           continue;
         }
         machine.evict(task);
@@ -167,7 +171,7 @@
     Team team = team(name);
     return new Head(
         name,
-        team.withinGuarantee(job),
+        team.isWithinGuaranteeWith(job),
         job.priority().rank(),
         team.fractionOfShareWith(settings.cost(job)),
         index);
@@ -176,15 +180,18 @@
   /** Places one task of the entry; true when the entry has nothing more to place. */
   private boolean placeNext(Entry entry, Team team) {
     if (entry.evicted != null) {
-      placeAgain(entry.evicted, Objects.requireNonNull(entry.home), team);
+      placeEvicted(entry.evicted, Objects.requireNonNull(entry.evictedFrom), team);
       return true;
     }
     PendingJob pending = Objects.requireNonNull(entry.pending);
     JobSpec job = pending.job();
-    if (!team.withinLimit(job)) {
+    if (!team.isWithinLimitWith(job)) {
       quotaLimited.add(
           new SchedulingPlan.QuotaLimitedTasks(
-              job, pending.remaining(), team.withinLimitIfReconciled(job), team.quotaUsage()));
+              job,
+              pending.remaining(),
+              team.isWithinLimitIfReconciledWith(job),
+              team.quotaUsage()));
       return true;
     }
     TaskId task = new TaskId(job.id(), pending.nextTask());
@@ -196,7 +203,7 @@
       unplaced.put(pending, team.tasksWithinLimit(job, pending.remaining()));
       return true;
     }
-    pending.nextTaskPlaced(machine.kind().zone());
+    pending.markNextTaskPlaced(machine.kind().zone());
     QuotaUsage counted = team.quotaUsage();
     team.addLaunched(job, settings);
     machine.place(job);
@@ -207,7 +214,7 @@
     return pending.isEmpty();
   }
 
-  private void placeAgain(PlacedTask evicted, MachineView home, Team team) {
+  private void placeEvicted(PlacedTask evicted, MachineView home, Team team) {
     JobSpec job = evicted.job();
     if (home.freeAfterStops().fits(job)) {
       home.place(job);
@@ -234,7 +241,7 @@
   private static boolean isAllowed(MachineView machine, PendingJob pending, TaskId task) {
     return machine.kind().allows(pending.job())
         && pending.isZoneAllowed(machine.kind().zone())
-        && !machine.hasTraceOf(task);
+        && !machine.hasRecordOf(task);
   }
 
   private static boolean isBetter(MachineView machine, MachineView best, JobSpec job) {
@@ -266,7 +273,7 @@
    */
   private @Nullable MachineView preempt(PendingJob pending, TaskId task, Team team) {
     JobSpec job = pending.job();
-    boolean guaranteed = team.withinGuarantee(job);
+    boolean guaranteed = team.isWithinGuaranteeWith(job);
     MachineView best = null;
     List<PlacedTask> bestVictims = List.of();
     double bestLoss = Double.POSITIVE_INFINITY;
@@ -350,7 +357,7 @@
       // Of two teams only the one within its guarantee may preempt the other, or they would do so
       // in turn.
       if ((lower && (guaranteed || own))
-          || ((lower || (guaranteed && !own)) && owner.beyondGuarantee(task.job()))) {
+          || ((lower || (guaranteed && !own)) && owner.isGuaranteeMetWithout(task.job()))) {
         candidates.add(task);
       }
     }
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
@@ -23,23 +23,23 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-  void planEqualsThatOfTheReferenceCycleOnRandomViews(int seed) {
+  void planEqualsPlanOfReferenceCycleForRandomClusters(int seed) {
     for (int round = 0; round < ROUNDS; round++) {
       Random random = new Random(seed * 1000 + round);
       boolean evict = random.nextBoolean();
       SchedulingSettings settings = new SchedulingSettings(5, evict ? 0.5 : 0, 1, 0);
       long viewSeed = random.nextLong();
-      setUpView(new Random(viewSeed));
+      setUpCluster(new Random(viewSeed));
       SchedulingPlan expected =
           ReferenceCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
-      setUpView(new Random(viewSeed));
+      setUpCluster(new Random(viewSeed));
       SchedulingPlan actual =
           SchedulingCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
       assertEquals(expected, actual);
     }
   }
 
-  private void setUpView(Random random) {
+  private void setUpCluster(Random random) {
     machines.clear();
     jobs.clear();
     teams.clear();
@@ -57,7 +57,7 @@
       addRunningTasks(machine, i * TASKS_PER_MACHINE, random);
     }
     for (int i = 0; i < WAITING_JOBS; i++) {
-      waiting(randomJob("wk-" + (FIRST_WAITING + i), random), i);
+      addWaitingJob(randomJob("wk-" + (FIRST_WAITING + i), random), i);
     }
   }
 
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -15,13 +15,13 @@
    * 8 are stopped.
    */
   @Test
-  void teamsWithEqualGuaranteesShareTwoMachinesAsInThePaper() {
+  void teamsWithEqualGuaranteesShareTwoMachinesAsInArmadaDesign() {
     addTeam("A", 32, 0);
     addTeam("B", 32, 0);
     JobSpec jobOfA = TestData.job("wk-1", "A", Priority.STANDARD, 40, 1);
-    running(addMachine("one", 32), jobOfA, 0, 32);
-    running(addMachine("two", 32), jobOfA, 32, 40);
-    waiting(TestData.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
+    addRunningTasks(addMachine("one", 32), jobOfA, 0, 32);
+    addRunningTasks(addMachine("two", 32), jobOfA, 32, 40);
+    addWaitingJob(TestData.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
     SchedulingPlan plan = run(1);
     assertEquals(24, Collections.frequency(placedJobs(plan), "wk-2"));
     assertEquals(8, plan.preemptions().size());
--- a/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
@@ -19,7 +19,7 @@
 abstract class SchedulingTestBase {
   static final double NOW = 100;
 
-  /** Since when the tasks run that {@link #running} adds. */
+  /** Since when the tasks run that {@link #addRunningTasks} adds. */
   private static final double RUNNING_SINCE = NOW - 10;
 
   final List<MachineView> machines = new ArrayList<>();
@@ -58,7 +58,7 @@
   }
 
   /** Adds the tasks of a job from one index up to another, which run on a machine. */
-  void running(MachineView machine, JobSpec job, int from, int to) {
+  void addRunningTasks(MachineView machine, JobSpec job, int from, int to) {
     for (int i = from; i < to; i++) {
       machine.add(new PlacedTask(new TaskId(job.id(), i), job, false, RUNNING_SINCE));
       team(job.team()).addLaunched(job, SchedulingSettings.DEFAULTS);
@@ -66,7 +66,7 @@
   }
 
   /** Adds a job of which all tasks wait. */
-  PendingJob waiting(JobSpec job, long submissionOrder) {
+  PendingJob addWaitingJob(JobSpec job, long submissionOrder) {
     BitSet tasks = new BitSet();
     tasks.set(0, job.tasks());
     PendingJob pending = new PendingJob(job, submissionOrder, tasks, Map.of());
--- a/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
+++ b/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
@@ -26,7 +26,7 @@
     "F, STANDARD, 2, F, STANDARD, 1, wk-2",
     "F, STANDARD, 1, U, STANDARD, 2, wk-2"
   })
-  void guaranteeGoesBeforePriorityThenSmallerShareThenEarlierSubmission(
+  void tasksAreOrderedByGuaranteeThenPriorityThenShareThenSubmission(
       String team1,
       Priority priority1,
       long order1,
@@ -41,8 +41,8 @@
     team("F")
         .addLaunched(TestData.job("wk-9", "F", Priority.IDLE, 1, 4), SchedulingSettings.DEFAULTS);
     addMachine("one", 8);
-    waiting(TestData.job("wk-1", team1, priority1, 1, 8), order1);
-    waiting(TestData.job("wk-2", team2, priority2, 1, 8), order2);
+    addWaitingJob(TestData.job("wk-1", team1, priority1, 1, 8), order1);
+    addWaitingJob(TestData.job("wk-2", team2, priority2, 1, 8), order2);
     SchedulingPlan plan = run(0);
     assertEquals(List.of(placedFirst), placedJobs(plan));
     assertTrue(plan.preemptions().isEmpty());
@@ -53,16 +53,16 @@
    * first, the one of lower priority would be started, and preempted in the next cycle.
    */
   @Test
-  void lowerPriorityIsNeitherPlacedNorPreemptedWhereAHigherOneWaitsForTheRoom() {
+  void lowerPriorityTaskIsNotPlacedWhileHigherPriorityTaskWaitsForReleasedResources() {
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
     MachineView machine = addMachine("one", 8);
     JobSpec stoppingJob = TestData.job("wk-1", "F", Priority.STANDARD, 1, 8);
     machine.add(new PlacedTask(new TaskId("wk-1", 0), stoppingJob, true, NOW));
-    waiting(TestData.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
+    addWaitingJob(TestData.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
     team("H")
         .addLaunched(TestData.job("wk-8", "H", Priority.URGENT, 1, 4), SchedulingSettings.DEFAULTS);
-    waiting(TestData.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
+    addWaitingJob(TestData.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
     SchedulingPlan plan = run(0);
     assertTrue(plan.placements().isEmpty() && plan.preemptions().isEmpty());
     assertEquals(List.of("wk-3"), plan.unplaced().stream().map(tasks -> tasks.job().id()).toList());
