--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -10,16 +10,19 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * What the jobs of each class look like and how often they arrive, as far as this term has seen.
- * All times are seconds of the event loop's clock.
+ * Statistics on the size and the arrival rate of the jobs of each class, collected since the start
+ * of the leader's term. All times are in seconds on the event loop's clock.
  */
 public final class ArrivalStatistics {
   private static final double EPSILON = 1e-6;
 
-  /** A class counts as ended when no job of it has arrived for this many of its usual gaps. */
+  /**
+   * A class is no longer expected when none of its jobs has arrived for this many times its mean
+   * gap.
+   */
   private static final double MAX_GAPS_SINCE_LAST_ARRIVAL = 3;
 
-  /** The jobs of one class. */
+  /** Statistics on the jobs of one class. */
   private static final class JobClass {
     JobSpec latest;
     int jobs;
@@ -27,7 +30,7 @@
     final double firstAt;
     double lastAt;
 
-    /** Arrivals within the last two windows, the oldest first. */
+    /** Arrivals within the last two windows, oldest first. */
     final ArrayDeque<Arrival> recent = new ArrayDeque<>();
 
     JobClass(JobSpec first, double now) {
@@ -65,8 +68,8 @@
   /**
    * A typical job of a class.
    *
-   * @param task what each of its tasks needs
-   * @param tasks how many tasks it has on average
+   * @param task the latest job of the class, which specifies what each task requires
+   * @param tasks the mean number of tasks
    */
   public record ExpectedJob(JobSpec task, double tasks) {}
 
@@ -76,17 +79,18 @@
   /**
    * Creates empty statistics.
    *
-   * @param windowS jobs have to arrive for twice this time before more of their class are expected
+   * @param windowS the length of a window in seconds; tasks of a class are expected only after its
+   *     jobs have arrived in two consecutive windows
    */
   public ArrivalStatistics(double windowS) {
     this.windowS = windowS;
   }
 
   /**
-   * Counts an open job.
+   * Records an open job.
    *
-   * @param arrivedNow whether the job was submitted just now, and not found waiting when the term
-   *     began
+   * @param arrivedNow whether the job has just been submitted, rather than found waiting at the
+   *     start of the term
    */
   public void recordJob(JobSpec job, boolean arrivedNow, double now) {
     classes
@@ -95,9 +99,9 @@
   }
 
   /**
-   * The tasks of each class that will arrive within a time if they arrive as they did recently. The
-   * smaller count of the last two windows is used, so that a burst of jobs does not count as a
-   * steady stream.
+   * Returns the tasks of each class that are expected to arrive within a time at their recent
+   * arrival rate. The rate is taken from the smaller of the counts in the last two windows, so that
+   * a single burst of jobs is not taken for a steady stream.
    */
   public List<SchedulingPlan.UnplacedTasks> expectedTasks(double withinS, double now) {
     List<SchedulingPlan.UnplacedTasks> expected = new ArrayList<>();
@@ -121,10 +125,10 @@
   }
 
   /**
-   * A typical job of every class that still arrives: whose last job is not several of its usual
-   * gaps ago.
+   * Returns a typical job of every class whose jobs still arrive, that is, whose last job did not
+   * arrive several mean gaps ago.
    *
-   * @param minGapS shorter gaps count as this long
+   * @param minGapS the lower bound for the mean gap, in seconds
    */
   public List<ExpectedJob> expectedJobs(double now, double minGapS) {
     List<ExpectedJob> expected = new ArrayList<>();
@@ -137,7 +141,7 @@
     return expected;
   }
 
-  /** How many tasks like this one fit into what is free. */
+  /** Returns how many tasks of a job fit into an amount of free resources. */
   public static double fittingTasks(Resources free, JobSpec task) {
     double tasks = JobSpec.MAX_TASKS;
     if (task.cpus() > 0) {
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -10,27 +10,30 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * Tasks that should get another place: they occupy machines of a scarce type, which the cloud has
- * no more of and waiting tasks depend on, although they fit other types themselves. Once there is
- * room for such tasks elsewhere, the next ones are placed there, and the scarce machines become
- * free for those that need them. A pure function.
+ * Finds tasks that should run on other machines: they occupy machines of a scarce type although
+ * they would fit another type. The cloud has no more machines of a scarce type, and waiting tasks
+ * depend on it. Once other machines have free resources for such tasks, later ones are placed
+ * there, and the machines of the scarce type become free for the tasks that need them. A pure
+ * function.
  */
 public final class DisplacedTasks {
   private static final double MIN_CPUS_PER_TASK = 1e-3;
 
-  /** So many tasks of a job run on machines of a type. */
+  /** The number of tasks of a job that run on machines of a type. */
   public record Running(String type, JobSpec job, int tasks) {}
 
-  /** The scarce types that waiting tasks depend on, and how many CPUs those tasks need. */
+  /**
+   * The scarce types that waiting tasks depend on, and the number of CPUs that those tasks require.
+   */
   private record Shortage(Set<String> types, double cpus) {
 
     static Shortage of(
         Map<String, MachineType> types,
         Set<String> scarce,
-        List<SchedulingPlan.UnplacedTasks> late) {
+        List<SchedulingPlan.UnplacedTasks> lateTasks) {
       Set<String> neededTypes = new HashSet<>();
       double neededCpus = 0;
-      for (SchedulingPlan.UnplacedTasks waiting : late) {
+      for (SchedulingPlan.UnplacedTasks waiting : lateTasks) {
         List<String> fittingTypes =
             types.values().stream()
                 .filter(type -> type.fits(waiting.job()))
@@ -48,18 +51,18 @@
   private DisplacedTasks() {}
 
   /**
-   * Finds the tasks to be displaced, as many as have the CPUs that the waiting tasks need.
+   * Finds the tasks to displace, up to the number of CPUs that the waiting tasks require.
    *
-   * @param scarce types of which the cloud has no machine left, of any kind
-   * @param late tasks that will wait for longer than a machine takes to boot
-   * @param running tasks on machines of scarce types
+   * @param scarce the types of which the cloud has no machines left, in any zone, spot or on-demand
+   * @param lateTasks the tasks that would wait for longer than a new machine takes to boot
+   * @param running the tasks on machines of scarce types
    */
   public static List<SchedulingPlan.UnplacedTasks> find(
       Map<String, MachineType> types,
       Set<String> scarce,
-      List<SchedulingPlan.UnplacedTasks> late,
+      List<SchedulingPlan.UnplacedTasks> lateTasks,
       List<Running> running) {
-    Shortage shortage = Shortage.of(types, scarce, late);
+    Shortage shortage = Shortage.of(types, scarce, lateTasks);
     double neededCpus = shortage.cpus;
     List<SchedulingPlan.UnplacedTasks> displaced = new ArrayList<>();
     for (Running group : running) {
@@ -67,8 +70,8 @@
       if (shortage.types.contains(group.type)
           && neededCpus > 0
           && fitsOtherType(job, types, scarce)) {
-        double tasksForNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS_PER_TASK));
-        int tasks = (int) Math.min(group.tasks, tasksForNeed);
+        double tasksToCoverNeed = Math.ceil(neededCpus / Math.max(job.cpus(), MIN_CPUS_PER_TASK));
+        int tasks = (int) Math.min(group.tasks, tasksToCoverNeed);
         displaced.add(new SchedulingPlan.UnplacedTasks(job, tasks));
         neededCpus -= tasks * job.cpus();
       }
--- a/src/main/java/org/saffronshore/fleet/Forecast.java
+++ b/src/main/java/org/saffronshore/fleet/Forecast.java
@@ -11,16 +11,19 @@
 import org.saffronshore.wire.MachineKind;
 
 /**
- * Forecasts when waiting tasks would start on the machines that there are, so that nothing is
- * rented for tasks that a new machine would not start sooner. A pure function; all times are
- * seconds of the event loop's clock.
+ * Forecasts when waiting tasks would start on the existing machines, so that no machine is rented
+ * for tasks that it would not start sooner. A pure function. All times are in seconds on the event
+ * loop's clock.
  */
 public final class Forecast {
 
-  /** A running task that releases its resources when it is expected to end. */
+  /** The resources of a running task, which are released when the task is expected to end. */
   private record Release(double at, JobSpec job) {}
 
-  /** A machine, with what is free on it now or when it is up, and what is released later. */
+  /**
+   * The resources of a machine over time: those that are free now, or as soon as the machine is up,
+   * and those that running tasks release later.
+   */
   public static final class MachineTimeline {
     private static final int TYPICAL_RELEASES = 4;
 
@@ -28,10 +31,17 @@
     private final Resources free;
     private double freeFrom;
 
-    /** Sorted by time, the earliest last, so that it is taken off the end. */
+    /**
+     * Sorted by time in descending order, so that the earliest is removed from the end of the list.
+     */
     private final ArrayList<Release> releases = new ArrayList<>(TYPICAL_RELEASES);
 
-    /** A machine with this much free from a moment on. */
+    /**
+     * Creates a timeline without running tasks.
+     *
+     * @param free the free resources; modified by the forecast
+     * @param freeFrom when the resources are available
+     */
     public MachineTimeline(MachineKind kind, Resources free, double freeFrom) {
       this.kind = kind;
       this.free = free;
@@ -42,7 +52,7 @@
       return kind;
     }
 
-    /** Adds a task whose resources are in use until it is expected to end. */
+    /** Adds a task that uses its resources until it is expected to end. */
     public void addRunningTask(JobSpec job, double endsAt) {
       int index = releases.size();
       while (index > 0 && releases.get(index - 1).at <= endsAt) {
@@ -51,7 +61,10 @@
       releases.add(index, new Release(endsAt, job));
     }
 
-    /** When a task of the job could start, or infinity when that is after the limit. */
+    /**
+     * Returns the earliest time at which a task of the job could start, or infinity if the
+     * resources for it are not released by the limit.
+     */
     private double earliestStart(JobSpec job, double limit) {
       if (free.fits(job)) {
         return freeFrom;
@@ -74,7 +87,7 @@
       return Double.POSITIVE_INFINITY;
     }
 
-    /** Starts a task at a moment that {@link #earliestStart} has given. */
+    /** Places a task at the time that {@link #earliestStart} has returned. */
     private void place(JobSpec job, double start, double runtimeS) {
       while (!free.fits(job) && !releases.isEmpty()) {
         free.add(releases.remove(releases.size() - 1).job);
@@ -85,15 +98,17 @@
     }
   }
 
-  /** When a machine, given by its index, could start the next task of a job. */
+  /**
+   * The earliest time at which a machine, given by its index, could start the next task of a job.
+   */
   private record Start(double at, int machine) {
     static final Comparator<Start> ORDER =
         Comparator.comparingDouble(Start::at).thenComparingInt(Start::machine);
   }
 
   /**
-   * A job of which some task cannot start in time on any machine. Machines only fill up during a
-   * forecast, so jobs that require at least as much need not be tried.
+   * A job with a task that cannot start in time on any machine. Free resources only decrease during
+   * a forecast, so jobs that require at least as much and have no later limit need not be tried.
    */
   private record Failure(JobSpec job, double latestStart) {
     boolean implies(JobSpec other, double otherLatestStart) {
@@ -104,11 +119,12 @@
   private Forecast() {}
 
   /**
-   * The tasks that would start too late. The timelines are changed.
+   * Returns the tasks that would start too late.
    *
-   * @param queue in the order in which the tasks are placed
-   * @param runtimeS how many seconds a task of a job is expected to run
-   * @param latestStart the latest acceptable start of a job's tasks, such as the moment at which a
+   * @param timelines the existing machines; modified by this method
+   * @param queue the waiting tasks, in the order in which they are placed
+   * @param runtimeS the expected running time of a job's tasks, in seconds
+   * @param latestStart the latest acceptable start of a job's tasks, such as the time at which a
    *     machine rented now would be up
    */
   public static List<SchedulingPlan.UnplacedTasks> lateTasks(
@@ -121,21 +137,24 @@
     for (SchedulingPlan.UnplacedTasks waiting : queue) {
       JobSpec job = waiting.job();
       double limit = latestStart.applyAsDouble(job);
-      int left = waiting.tasks();
+      int remaining = waiting.tasks();
       if (failures.stream().noneMatch(failure -> failure.implies(job, limit))) {
-        left = place(timelines, job, left, limit, runtimeS.applyAsDouble(job));
-        if (left > 0) {
+        remaining = place(timelines, job, remaining, limit, runtimeS.applyAsDouble(job));
+        if (remaining > 0) {
           failures.add(new Failure(job, limit));
         }
       }
-      if (left > 0) {
-        late.add(new SchedulingPlan.UnplacedTasks(job, left));
+      if (remaining > 0) {
+        late.add(new SchedulingPlan.UnplacedTasks(job, remaining));
       }
     }
     return late;
   }
 
-  /** Places tasks of a job where they start first; returns how many cannot start in time. */
+  /**
+   * Places each task of a job on the machine where it starts earliest; returns the number of tasks
+   * that cannot start in time.
+   */
   private static int place(
       List<MachineTimeline> timelines, JobSpec job, int tasks, double limit, double runtimeS) {
     PriorityQueue<Start> starts = new PriorityQueue<>(Start.ORDER);
@@ -144,14 +163,14 @@
         addStart(starts, timelines, i, job, limit);
       }
     }
-    int left = tasks;
-    while (left > 0 && !starts.isEmpty()) {
+    int remaining = tasks;
+    while (remaining > 0 && !starts.isEmpty()) {
       Start first = starts.poll();
       timelines.get(first.machine).place(job, first.at, runtimeS);
       addStart(starts, timelines, first.machine, job, limit);
-      left--;
+      remaining--;
     }
-    return left;
+    return remaining;
   }
 
   private static void addStart(
--- a/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
+++ b/src/main/java/org/saffronshore/fleet/ScaleOutPlan.java
@@ -14,15 +14,18 @@
 import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.MachineType;
 
-/** Calculates what to rent for tasks that found no place. A pure function. */
+/** Calculates which machines to rent for tasks that could not be placed. A pure function. */
 public final class ScaleOutPlan {
-  /** A machine with fewer CPUs free counts as full. */
+  /** A machine with no more free CPUs than this is considered full. */
   private static final double MIN_FREE_CPUS = 1e-6;
 
-  /** Tasks count with at least this many CPUs, so that a machine's value is never 0. */
+  /**
+   * The minimum number of CPUs that a task counts for, so that the used CPUs of a candidate, by
+   * which its price is divided, are never 0.
+   */
   private static final double MIN_CPUS_PER_TASK = 1e-3;
 
-  /** A machine that the plan adds. */
+  /** A machine that the plan orders. */
   private static final class PlannedMachine {
     final MachineKind kind;
     final Resources free;
@@ -32,7 +35,7 @@
       this.free = Resources.capacityOf(type);
     }
 
-    /** Places as many tasks of a job as fit, up to a number; returns how many. */
+    /** Places up to {@code maxTasks} tasks of a job; returns the number of tasks that fit. */
     int place(JobSpec job, int maxTasks) {
       int placed = 0;
       while (placed < maxTasks && free.fits(job) && kind.allows(job)) {
@@ -43,7 +46,7 @@
     }
   }
 
-  /** A machine type in a zone, spot or not, that could be rented next. */
+  /** A machine type and kind (type, zone, spot or on-demand) that could be rented next. */
   private record Candidate(MachineKind kind, MachineType type) {
     double pricePerHour() {
       return kind.spot() ? type.spotPricePerHour() : type.pricePerHour();
@@ -66,11 +69,12 @@
   }
 
   /**
-   * Calculates how many machines of each kind to rent; the kinds are in the order of renting.
+   * Calculates how many machines of each kind to rent. The kinds are in the order of renting.
    *
-   * @param machinesPerZone how many machines each zone has, so that new ones go where there are
-   *     fewest
-   * @param available whether the cloud is thought to have machines of a kind
+   * @param unplaced the tasks that could not be placed
+   * @param machinesPerZone the number of existing machines in each zone; new machines are rented in
+   *     the zone with the fewest
+   * @param available whether the cloud is expected to have machines of a kind
    */
   public static Map<MachineKind, Integer> orders(
       Map<String, MachineType> types,
@@ -78,7 +82,8 @@
       Map<String, Integer> machinesPerZone,
       Predicate<MachineKind> available) {
     ScaleOutPlan plan = new ScaleOutPlan(types, available, machinesPerZone);
-    // Large tasks first: small ones then fill the gaps, and fewer machines do.
+    // Large tasks are placed first; small ones then fill the remaining space, so that fewer
+    // machines are needed.
     List<SchedulingPlan.UnplacedTasks> largestFirst = new ArrayList<>(unplaced);
     largestFirst.sort(
         Comparator.comparingDouble((SchedulingPlan.UnplacedTasks tasks) -> -tasks.job().cpus()));
@@ -88,21 +93,23 @@
     return plan.orders;
   }
 
-  /** Plans machines for one group of tasks, after the groups before it. */
+  /**
+   * Plans machines for the group of tasks at an index. The preceding groups must have been planned.
+   */
   private void planMachinesFor(List<SchedulingPlan.UnplacedTasks> groups, int index) {
     JobSpec job = groups.get(index).job();
-    int left = groups.get(index).tasks();
+    int remaining = groups.get(index).tasks();
     for (PlannedMachine machine : machines) {
-      left -= machine.place(job, left);
+      remaining -= machine.place(job, remaining);
     }
-    while (left > 0) {
-      Candidate candidate = cheapestCandidate(groups, index, left);
+    while (remaining > 0) {
+      Candidate candidate = cheapestCandidate(groups, index, remaining);
       if (candidate == null) {
         return;
       }
       MachineKind kind = candidate.kind;
       PlannedMachine machine = new PlannedMachine(kind, candidate.type);
-      left -= machine.place(job, left);
+      remaining -= machine.place(job, remaining);
       machines.add(machine);
       orders.merge(kind, 1, Integer::sum);
       machinesPerZone.merge(kind.zone(), 1, Integer::sum);
@@ -110,11 +117,12 @@
   }
 
   /**
-   * The candidate with the lowest price for the CPUs of the remaining tasks, from this group on,
-   * that it would hold; null when nothing available takes a task of this group.
+   * Returns the candidate with the lowest price per used CPU, counting the remaining tasks of this
+   * group and of the following ones that would fit on it; null if no available machine allows a
+   * task of this group.
    */
   private @Nullable Candidate cheapestCandidate(
-      List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
+      List<SchedulingPlan.UnplacedTasks> groups, int index, int remaining) {
     JobSpec job = groups.get(index).job();
     Candidate cheapest = null;
     double lowestPricePerCpu = Double.POSITIVE_INFINITY;
@@ -128,7 +136,8 @@
           continue;
         }
         Candidate candidate = new Candidate(kind, type);
-        double pricePerCpu = candidate.pricePerHour() / usedCpus(candidate, groups, index, left);
+        double pricePerCpu =
+            candidate.pricePerHour() / usedCpus(candidate, groups, index, remaining);
         if (pricePerCpu < lowestPricePerCpu) {
           cheapest = candidate;
           lowestPricePerCpu = pricePerCpu;
@@ -138,20 +147,26 @@
     return cheapest;
   }
 
-  /** How many CPUs of a candidate tasks would use, from the group at the index on. */
+  /**
+   * Returns how many CPUs of a candidate would be used by the remaining tasks of the group at the
+   * index and the tasks of the following groups.
+   */
   private static double usedCpus(
-      Candidate candidate, List<SchedulingPlan.UnplacedTasks> groups, int index, int left) {
+      Candidate candidate, List<SchedulingPlan.UnplacedTasks> groups, int index, int remaining) {
     PlannedMachine machine = new PlannedMachine(candidate.kind, candidate.type);
     double cpus = 0;
     for (int i = index; i < groups.size() && machine.free.cpus > MIN_FREE_CPUS; i++) {
       JobSpec job = groups.get(i).job();
-      int tasks = i == index ? left : groups.get(i).tasks();
+      int tasks = i == index ? remaining : groups.get(i).tasks();
       cpus += machine.place(job, tasks) * Math.max(job.cpus(), MIN_CPUS_PER_TASK);
     }
     return cpus;
   }
 
-  /** The kind in the zone with the fewest machines; null when no zone has one for the job. */
+  /**
+   * Returns the kind in the zone with the fewest machines, or null if no zone has an available kind
+   * that the job allows.
+   */
   private @Nullable MachineKind kindInZoneWithFewestMachines(
       MachineType type, boolean spot, JobSpec job) {
     MachineKind best = null;
--- a/src/main/java/org/saffronshore/scheduling/Eviction.java
+++ b/src/main/java/org/saffronshore/scheduling/Eviction.java
@@ -6,14 +6,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Eviction, in memory only: running tasks compete for their places again, and what finds none is
- * preempted. The protocol is narrower than the design here: among equals, only what a team runs
- * beyond its guarantee may be preempted, and only to give another team its guarantee.
+ * The eviction step of a full cycle. Running tasks are evicted in memory only and compete for
+ * resources again; evicted tasks that cannot be placed again are preempted. The protocol is
+ * stricter than the design here: among tasks of equal priority, only tasks that a team runs beyond
+ * its guarantee may be preempted, and only to give another team its guarantee.
  */
 final class Eviction {
   private Eviction() {}
 
-  /** Evicts tasks of machines chosen at random, and queues them. */
+  /**
+   * Evicts tasks from randomly chosen machines and adds them to the queues of their teams. Does
+   * nothing unless some team has a waiting task that is within its guarantee.
+   */
   static void run(
       Collection<MachineView> machines,
       TeamQueues queues,
--- a/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
+++ b/src/main/java/org/saffronshore/scheduling/FailedPlacements.java
@@ -8,15 +8,19 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * Remembers within one cycle which jobs found no place. Room only shrinks as tasks are placed, so
- * another job that requires at least as much, and is allowed on no more machines, need not be
- * tried. With a long queue on a full cluster that saves most of the work.
+ * Records which jobs could not be placed earlier in the same cycle. Placing tasks only reduces the
+ * free resources, so a job that requires at least as much as a failed one, and is allowed on no
+ * additional machines, need not be tried. With a long queue on a full cluster this saves most of
+ * the work.
  */
 final class FailedPlacements {
   private final List<JobSpec> unplaceableJobs = new ArrayList<>();
   private final Set<VictimSearch> searchesWithoutVictims = new HashSet<>();
 
-  /** All that the search for victims depends on, other than constraints on the job's own tasks. */
+  /**
+   * The inputs of a search for tasks to preempt, except the constraints that depend on the job's
+   * other tasks.
+   */
   private record VictimSearch(
       String team,
       int priority,
@@ -42,7 +46,7 @@
     }
   }
 
-  /** Whether a job that requires no more than this one fits on no machine. */
+  /** Returns whether a job that requires no more than this one is known to fit on no machine. */
   boolean isKnownUnplaceable(JobSpec job) {
     for (JobSpec failed : unplaceableJobs) {
       if (job.requiresAtLeast(failed)) {
@@ -56,7 +60,7 @@
     unplaceableJobs.add(job);
   }
 
-  /** Whether a search like this one found no tasks to preempt. */
+  /** Returns whether an equivalent search has found no tasks to preempt. */
   boolean isKnownToHaveNoVictims(JobSpec job, boolean guaranteed) {
     return !searchesWithoutVictims.isEmpty()
         && searchesWithoutVictims.contains(VictimSearch.of(job, guaranteed));
@@ -66,12 +70,18 @@
     searchesWithoutVictims.add(VictimSearch.of(job, guaranteed));
   }
 
-  /** A team's share has grown: more of its tasks may be beyond its guarantee, and be preempted. */
+  /**
+   * Discards the failed preemption searches after a team's share has increased: more of its tasks
+   * may now be beyond its guarantee, and may therefore be preempted.
+   */
   void onTeamShareIncreased() {
     searchesWithoutVictims.clear();
   }
 
-  /** Tasks are to be preempted: there is room where there was none. */
+  /**
+   * Discards all recorded failures after tasks were selected for preemption, which makes more
+   * resources available.
+   */
   void onTasksPreempted() {
     unplaceableJobs.clear();
     searchesWithoutVictims.clear();
--- a/src/main/java/org/saffronshore/scheduling/FairShareOrder.java
+++ b/src/main/java/org/saffronshore/scheduling/FairShareOrder.java
@@ -6,19 +6,19 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * Decides which team places its next task. By the design that is the team with the smallest
- * fraction of its fair share, counting that task. Exceptions to the design:
+ * Determines which team places its next task. In the design this is the team with the smallest
+ * fraction of its fair share, including that task. Exceptions to the design:
  *
  * <ul>
- *   <li>A task that may preempt others goes before them: first one within its team's guarantee,
- *       then one of higher priority. Were the others placed first, they would be preempted in the
- *       next cycle, again and again.
- *   <li>A task of an overdue job goes before all others, so that no job waits for ever.
+ *   <li>A task that may preempt other tasks is placed before them: tasks within their team's
+ *       guarantee first, then tasks of higher priority. If the other tasks were placed first, they
+ *       would be preempted in the next cycle, over and over.
+ *   <li>The next task of an overdue job is placed before all others, so that no job waits forever.
  * </ul>
  */
 final class FairShareOrder {
 
-  /** What the head of a queue is compared by, as of the moment when the queue was added. */
+  /** The sort key of the head of a queue, computed when the queue was added. */
   private record Head(
       TeamQueue queue, boolean overdue, boolean guaranteed, int priority, double fraction) {
     static final Comparator<Head> ORDER =
@@ -41,12 +41,12 @@
     return heads.isEmpty();
   }
 
-  /** Removes the queue whose turn it is. */
+  /** Removes and returns the queue that places its next task. */
   TeamQueue removeFirst() {
     return heads.remove().queue;
   }
 
-  /** Adds a queue that is not empty, by what its team uses now. */
+  /** Adds a non-empty queue with a sort key based on the current usage of its team. */
   void add(TeamQueue queue) {
     QueueEntry entry = queue.head();
     JobSpec job = entry.job();
--- a/src/main/java/org/saffronshore/scheduling/MachineSelector.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineSelector.java
@@ -6,16 +6,18 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * Chooses the machine for a task that fits somewhere without preemption. What is free now goes
- * before what is only being freed. Then the design packs by team: machines used only by the team,
- * then others, and of these the one with the least free room. Exceptions to the design:
+ * Selects the machine for a task that can be placed without preemption. Resources that are free now
+ * are preferred to resources that are still being released. The design then packs machines by team:
+ * machines used only by the task's team first, then others, and among those the machine with the
+ * fewest free CPUs. Exceptions to the design:
  *
  * <ul>
- *   <li>It takes empty machines before shared ones; here every second of a machine is paid for, and
- *       one that stays empty can be returned, so empty ones come last.
- *   <li>Smaller machines go before larger ones, or small tasks would use up the room that only
- *       large machines have; then machines that have the image, since pulling it delays the start;
- *       then spot machines, so that ordinary ones, which are rented for peaks, become idle.
+ *   <li>The design prefers empty machines to shared ones. Here machines are billed by the second
+ *       and a machine that stays empty can be returned, so empty machines come last.
+ *   <li>Before packing by team, smaller machines are preferred to larger ones, because small tasks
+ *       would otherwise fill the large machines that large tasks need; then machines that already
+ *       have the image, since pulling it delays the start; then spot machines, so that on-demand
+ *       machines, which are rented for peaks, become idle.
  * </ul>
  */
 final class MachineSelector {
@@ -27,7 +29,7 @@
     this.failures = failures;
   }
 
-  /** The best machine for the task, or null when it fits nowhere. */
+  /** Returns the best machine for the task, or null if it fits on no machine. */
   @Nullable MachineView select(PendingJob pending, TaskId task) {
     JobSpec job = pending.job();
     if (failures.isKnownUnplaceable(job)) {
@@ -45,7 +47,7 @@
         best = machine;
       }
     }
-    // What was excluded for this task may suit one of another job.
+    // A machine that is excluded for this task may be allowed for a task of another job.
     if (best == null && !excludedAny) {
       failures.addUnplaceable(job);
     }
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -12,18 +12,22 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * A machine as the cycle sees it; reused by later cycles as long as nothing on it changes. A task
- * that fits only into {@link #freeAfterStops} keeps its place, and is not started there yet.
+ * A scheduling cycle's view of a machine. Later cycles reuse a view as long as nothing on the
+ * machine changes. A task that fits only into {@link #freeAfterStops} is assigned its resources
+ * there and is not started yet.
  */
 public final class MachineView {
 
-  /** Which teams a machine has, in the order in which machines are packed for a team. */
+  /**
+   * Which teams have tasks on a machine. The constants are in the order in which machines are
+   * packed for a team.
+   */
   enum Sharing {
-    /** Only the team. */
+    /** Only tasks of the team. */
     EXCLUSIVE,
-    /** Other teams, with the team or without it. */
+    /** Tasks of other teams, with or without tasks of the team. */
     SHARED,
-    /** No team. */
+    /** No tasks. */
     EMPTY
   }
 
@@ -37,18 +41,22 @@
   private final Predicate<TaskId> hasRecordOf;
   private final Set<String> images;
 
-  /** The lowest rank of a priority among the preemptible tasks; may be too low after evictions. */
+  /**
+   * The lowest priority rank among the preemptible tasks. Not updated by evictions, so that the
+   * actual lowest rank may be higher.
+   */
   private int lowestPriorityRank = Integer.MAX_VALUE;
 
   private boolean modified;
   private boolean reserved;
 
   /**
-   * A machine without tasks.
+   * Creates a view of a machine without tasks.
    *
-   * @param capacity all that it has; becomes what is free now, and is changed
-   * @param hasRecordOf tasks that may not be placed here
-   * @param images what it holds; may change between cycles, but not in one
+   * @param capacity the total resources; this object is used and modified as {@link #freeNow}
+   * @param hasRecordOf whether the machine still has a record of a task, which may then not be
+   *     placed on it
+   * @param images the images on the machine; may change between cycles, but not during one
    */
   public MachineView(
       String id,
@@ -65,7 +73,7 @@
     this.images = images;
   }
 
-  /** Adds a task that is on the machine already. */
+  /** Adds a task that is already on the machine. */
   public void add(PlacedTask task) {
     freeNow.subtract(task.job());
     if (!task.stopping()) {
@@ -78,7 +86,10 @@
     }
   }
 
-  /** Whether a cycle has changed it, so that it shows the machine no longer as it is. */
+  /**
+   * Returns whether a cycle has modified this view, so that it no longer reflects the state of the
+   * machine.
+   */
   public boolean isModified() {
     return modified;
   }
@@ -91,39 +102,42 @@
     return kind;
   }
 
-  /** The CPUs of the empty machine. */
+  /** Returns the total number of CPUs. */
   double totalCpus() {
     return totalCpus;
   }
 
-  /** What is free now; the cycle subtracts what it starts. */
+  /**
+   * Returns the resources that are free now. The cycle subtracts those of the tasks that it starts.
+   */
   Resources freeNow() {
     return freeNow;
   }
 
   /**
-   * What is free now and what tasks that are being stopped, or are evicted in memory, will leave.
+   * Returns the resources that are free now or will be released by tasks that are being stopped or
+   * were evicted in memory, less those of the tasks that the cycle has placed.
    */
   Resources freeAfterStops() {
     return freeAfterStops;
   }
 
-  /** The tasks that may be preempted and are not evicted. */
+  /** Returns the tasks that may be preempted and were not evicted; a live view. */
   List<PlacedTask> preemptibleTasks() {
     return preemptibleTasks;
   }
 
-  /** Whether it may have preemptible tasks of a priority below this one. */
+  /** Returns whether the machine may have preemptible tasks of a lower priority than this one. */
   boolean mayHaveTasksBelow(Priority priority) {
     return lowestPriorityRank < priority.rank();
   }
 
-  /** Whether it has tasks of any other team. */
+  /** Returns whether the machine has tasks of any other team. */
   boolean hasTasksOfOtherTeams(String team) {
     return tasksPerTeam.size() > 1 || (tasksPerTeam.size() == 1 && !tasksPerTeam.containsKey(team));
   }
 
-  /** Frees the place of a preemptible task, in memory. */
+  /** Evicts a preemptible task, in memory only. */
   void evict(PlacedTask task) {
     modified = true;
     freeAfterStops.add(task.job());
@@ -132,14 +146,14 @@
         task.job().team(), (team, tasks) -> tasks == 1 ? null : tasks - 1);
   }
 
-  /** Gives a task of the job its place, which need not be free yet. */
+  /** Assigns resources to a task of the job. They need not be free yet. */
   void place(JobSpec job) {
     modified = true;
     freeAfterStops.subtract(job);
     tasksPerTeam.merge(job.team(), 1, Integer::sum);
   }
 
-  /** Takes nothing more in this cycle. */
+  /** Prevents further placements on the machine in this cycle. */
   void reserve() {
     modified = true;
     reserved = true;
--- a/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
+++ b/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
@@ -6,14 +6,15 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * An exception to the design, against starvation: when the first task of an overdue job fits
- * nowhere, the machine with the most room for it takes nothing else in this cycle. Otherwise small
- * tasks would fill every gap before it is large enough.
+ * An exception to the design that prevents starvation: when the first task of an overdue job fits
+ * on no machine, the allowed machine with the most free CPUs takes no other tasks in this cycle.
+ * Otherwise small tasks would use released resources before enough of them are free for the overdue
+ * job.
  */
 final class OverdueReservation {
   private OverdueReservation() {}
 
-  /** Reserves a machine for the task, if one is large enough when empty. */
+  /** Reserves a machine for the task if there is one that would be large enough when empty. */
   static void reserve(Collection<MachineView> machines, PendingJob pending, TaskId task) {
     MachineView machine = machineWithMostFreeCpus(machines, pending, task);
     if (machine != null) {
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -6,7 +6,10 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.TaskId;
 
-/** A job with tasks that may be placed now, and the zones where its other tasks are or may be. */
+/**
+ * A job with tasks that may be placed now, and the number of its other tasks that are or may be in
+ * each zone.
+ */
 public final class PendingJob {
   private final JobSpec job;
   private final long submissionOrder;
@@ -17,12 +20,14 @@
   private int remaining;
 
   /**
-   * A job that is not overdue.
+   * Creates a job that is not overdue.
    *
-   * @param submissionOrder of two jobs that are otherwise equal, the one with the smaller value
-   *     goes first
-   * @param waitingTasks which tasks wait; only read, and not to be changed while the cycle runs
-   * @param tasksPerZone how many of its other tasks each zone has, where {@link #hasZoneConstraint}
+   * @param submissionOrder the position in the order of submission; among jobs that are otherwise
+   *     equal, the job with the smaller value is placed first
+   * @param waitingTasks the indices of the waiting tasks; not modified here, and must not be
+   *     modified while the cycle runs
+   * @param tasksPerZone the number of the job's other tasks in each zone; only used if {@link
+   *     #hasZoneConstraint} is true for the job
    */
   public PendingJob(
       JobSpec job, long submissionOrder, BitSet waitingTasks, Map<String, Integer> tasksPerZone) {
@@ -34,13 +39,13 @@
     this.remaining = waitingTasks.cardinality();
   }
 
-  /** Notes that the job has waited for very long, and nothing of it has ever run. */
+  /** Marks the job as overdue: it has waited for very long and none of its tasks has ever run. */
   public PendingJob markOverdue() {
     overdue = true;
     return this;
   }
 
-  /** Whether the job is constrained by the zones of its other tasks. */
+  /** Returns whether the zones of a job's other tasks constrain the placement of its next task. */
   public static boolean hasZoneConstraint(JobSpec job) {
     return job.singleZone() || job.spread();
   }
@@ -54,8 +59,8 @@
   }
 
   /**
-   * Whether its next task goes before all others; once one is placed, the job queues like any
-   * other.
+   * Returns whether the job's next task is placed before all others. Once one task has been placed,
+   * the job is queued like any other.
    */
   boolean isOverdue() {
     return overdue;
@@ -65,17 +70,20 @@
     return remaining == 0;
   }
 
-  /** How many tasks have not been placed yet. */
+  /** Returns the number of waiting tasks that have not been placed yet. */
   int remaining() {
     return remaining;
   }
 
-  /** The index of the first task that has not been placed yet. */
+  /**
+   * Returns the index of the first waiting task that has not been placed yet, or -1 if there is
+   * none.
+   */
   int nextTask() {
     return nextTask;
   }
 
-  /** Notes that the next task was placed in a zone. */
+  /** Marks the next task as placed in a zone and advances to the following one. */
   void markNextTaskPlaced(String zone) {
     nextTask = waitingTasks.nextSetBit(nextTask + 1);
     remaining--;
@@ -85,12 +93,15 @@
     }
   }
 
-  /** Whether the zones of the job's other tasks, or the task's past, rule out a machine. */
+  /**
+   * Returns whether a task may not be placed on a machine, either because of the zones of the job's
+   * other tasks or because the machine still has a record of the task.
+   */
   boolean isExcludedFrom(MachineView machine, TaskId task) {
     return !isZoneAllowed(machine.kind().zone()) || machine.hasRecordOf(task);
   }
 
-  /** Whether one more task of the job may be in this zone, given the job's other tasks. */
+  /** Returns whether the zones of the job's other tasks allow one more task in this zone. */
   boolean isZoneAllowed(String zone) {
     if (job.singleZone() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone)) {
       return false;
--- a/src/main/java/org/saffronshore/scheduling/PlacedTask.java
+++ b/src/main/java/org/saffronshore/scheduling/PlacedTask.java
@@ -4,21 +4,24 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * A task on a machine as the cycle sees it.
+ * A scheduling cycle's view of a task on a machine.
  *
- * @param stopping whether it is being stopped already
- * @param runningSince when it began to run, in seconds; NaN as long as it does not
- * @param exemptFromPreemption whether it is not to be preempted
+ * @param stopping whether the task is already being stopped
+ * @param runningSince when the task started to run, in seconds; NaN if it is not running yet
+ * @param exemptFromPreemption whether the task may not be preempted
  */
 public record PlacedTask(
     TaskId task, JobSpec job, boolean stopping, double runningSince, boolean exemptFromPreemption) {
 
-  /** A task that is not exempt from preemption. */
+  /** Creates a task that is not exempt from preemption. */
   public PlacedTask(TaskId task, JobSpec job, boolean stopping, double runningSince) {
     this(task, job, stopping, runningSince, false);
   }
 
-  /** How many seconds of its running time a stop at a moment would waste. */
+  /**
+   * Returns the running time, in seconds, that would be lost if the task were stopped now: its
+   * whole running time, or the duration of a checkpoint if the job supports checkpoints.
+   */
   double lostWorkS(double now) {
     if (Double.isNaN(runningSince)) {
       return 0;
--- a/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/saffronshore/scheduling/PreemptionPlanner.java
@@ -6,10 +6,13 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.TaskId;
 
-/** Finds the machine on which preemption makes room for a task at the least loss of work. */
+/**
+ * Finds the machine on which preemption frees enough resources for a task at the least loss of
+ * work.
+ */
 final class PreemptionPlanner {
 
-  /** A machine, and the tasks to preempt there. */
+  /** A machine and the tasks to preempt on it. */
   record Choice(MachineView machine, List<PlacedTask> victims) {}
 
   private final Collection<MachineView> machines;
@@ -24,7 +27,8 @@
   }
 
   /**
-   * Where to make room for the task, or null where no preemption is allowed that would.
+   * Returns the machine and the tasks to preempt for the task, or null if no permitted preemption
+   * frees enough resources.
    *
    * @param guaranteed whether the task is within its team's guarantee
    */
@@ -56,14 +60,17 @@
     if (best != null && bestVictims != null) {
       return new Choice(best, bestVictims);
     }
-    // What was excluded for this task may suit one of another job.
+    // A machine that is excluded for this task may be allowed for a task of another job.
     if (!excludedAny) {
       failures.addSearchWithoutVictims(job, guaranteed);
     }
     return null;
   }
 
-  /** A cheap test that rules out most machines. */
+  /**
+   * Returns whether the machine may have tasks to preempt; an inexpensive check that rules out most
+   * machines.
+   */
   private static boolean mayHaveVictims(MachineView machine, JobSpec job, boolean guaranteed) {
     boolean hasLowerPriority = machine.mayHaveTasksBelow(job.priority());
     boolean hasOthersForGuarantee = guaranteed && machine.hasTasksOfOtherTeams(job.team());
--- a/src/main/java/org/saffronshore/scheduling/PreemptionReason.java
+++ b/src/main/java/org/saffronshore/scheduling/PreemptionReason.java
@@ -1,9 +1,12 @@
 package org.saffronshore.scheduling;
 
-/** Why a cycle preempts a task; {@code toString} is the text for the log. */
+/** The reason why a cycle preempts a task; {@code toString} returns the text for log lines. */
 public sealed interface PreemptionReason {
 
-  /** The task was evicted in memory, and its place went to a team within its guarantee. */
+  /**
+   * The task was evicted in memory and could not be placed again on its machine: its resources were
+   * given to a team that is within its guarantee.
+   */
   record EvictedForGuarantee() implements PreemptionReason {
     @Override
     public String toString() {
@@ -12,9 +15,9 @@
   }
 
   /**
-   * It makes room for a task within a team's guarantee.
+   * The task is preempted for a task within a team's guarantee.
    *
-   * @param team the name of that team
+   * @param team the name of the team with the guarantee
    */
   record Guarantee(String team) implements PreemptionReason {
     @Override
@@ -24,9 +27,9 @@
   }
 
   /**
-   * It makes room for a task of higher priority.
+   * The task is preempted for a task of higher priority.
    *
-   * @param job the id of that task's job
+   * @param job the id of the job of the task with the higher priority
    */
   record HigherPriority(String job) implements PreemptionReason {
     @Override
--- a/src/main/java/org/saffronshore/scheduling/QueueEntry.java
+++ b/src/main/java/org/saffronshore/scheduling/QueueEntry.java
@@ -7,10 +7,10 @@
 
   JobSpec job();
 
-  /** Whether the entry's next task goes before those of all teams. */
+  /** Returns whether the entry's next task is placed before the tasks of all teams. */
   boolean isOverdue();
 
-  /** A job with tasks to place, one at a time. */
+  /** A job whose waiting tasks are placed one at a time. */
   record Waiting(PendingJob pending) implements QueueEntry {
     @Override
     public JobSpec job() {
@@ -23,7 +23,9 @@
     }
   }
 
-  /** A task that was evicted in memory and may only return to the machine that it runs on. */
+  /**
+   * A task that was evicted in memory and may only be placed again on the machine that it runs on.
+   */
   record Evicted(PlacedTask task, MachineView machine) implements QueueEntry {
     @Override
     public JobSpec job() {
--- a/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
+++ b/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
@@ -3,33 +3,37 @@
 import java.util.Locale;
 
 /**
- * What counts against a team's limit at one moment, as the leader knows it.
+ * The resources that count against a team's limit at one moment, as known to the leader.
  *
  * @param team the team's name
- * @param cpus its CPUs
- * @param gpus its GPUs
+ * @param cpus the amounts of CPUs
+ * @param gpus the amounts of GPUs
  */
 public record QuotaUsage(String team, Amounts cpus, Amounts gpus) {
 
   /**
-   * Amounts of one resource.
+   * The amounts of one resource.
    *
-   * @param running of tasks that run or save a checkpoint
-   * @param launched of all tasks that are on machines, on their way there, or placed in this cycle
-   * @param possible of open jobs' tasks that may be on unreconciled machines
-   * @param unattributed of tasks on such machines that belong to no open job, as far as is known;
-   *     {@code possibly_held} in log lines and metrics
-   * @param limit the most that the team may use; 0 for no limit
+   * @param running used by tasks that are running or saving a checkpoint
+   * @param launched used by all tasks that are on machines, are being launched, or were placed in
+   *     this cycle
+   * @param possible used by tasks of open jobs that may be on unreconciled machines
+   * @param unattributed used by tasks that may be on unreconciled machines and belong to no open
+   *     job, as far as known; named {@code possibly_held} in log lines and metrics
+   * @param limit the maximum that the team may use; 0 for no limit
    */
   public record Amounts(
       double running, double launched, double possible, double unattributed, double limit) {
-    /** All that is compared with the limit. */
+    /** Returns the total that is compared with the limit. */
     public double counted() {
       return launched + possible + unattributed;
     }
   }
 
-  /** The fields of the log lines; their names do not change. GPUs only where there are any. */
+  /**
+   * Returns the fields for log lines, whose names are stable. The fields for GPUs are included only
+   * if the team has a GPU limit or uses GPUs.
+   */
   @Override
   public String toString() {
     String text = "team=" + team + fields("cpus", cpus);
--- a/src/main/java/org/saffronshore/scheduling/Resources.java
+++ b/src/main/java/org/saffronshore/scheduling/Resources.java
@@ -4,30 +4,31 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * An amount of each resource. Mutable: a running total of the cycle, of forecasts and of plans for
- * the fleet, each of which changes its own; {@link #copy} makes another.
+ * An amount of each resource. Mutable, because it serves as a running total in scheduling cycles,
+ * forecasts and scale-out plans. Each of these modifies its own instances; {@link #copy} creates an
+ * independent one.
  */
 public final class Resources {
-  /** By how much sums of CPUs, GPUs or GB may be off through rounding. */
+  /** The tolerance for rounding errors in sums of CPUs, GPUs or GB. */
   static final double EPSILON = 1e-6;
 
   public double cpus;
   public double gpus;
   public double memoryGb;
 
-  /** An amount of each resource. */
+  /** Creates an amount of each resource. */
   public Resources(double cpus, double gpus, double memoryGb) {
     this.cpus = cpus;
     this.gpus = gpus;
     this.memoryGb = memoryGb;
   }
 
-  /** A total to which nothing was added yet. */
+  /** Returns a new total of zero. */
   static Resources zero() {
     return new Resources(0, 0, 0);
   }
 
-  /** All that a machine of a type has. */
+  /** Returns the capacity of a machine of a type. */
   public static Resources capacityOf(MachineType type) {
     return new Resources(type.cpus(), type.gpus(), type.memoryGb());
   }
@@ -36,12 +37,12 @@
     return new Resources(cpus, gpus, memoryGb);
   }
 
-  /** Whether a task of the job fits into this. */
+  /** Returns whether a task of the job fits into this amount. */
   public boolean fits(JobSpec job) {
     return fits(job, cpus, gpus, memoryGb);
   }
 
-  /** Whether a task of the job fits into this much of each resource. */
+  /** Returns whether a task of the job fits into these amounts. */
   public static boolean fits(JobSpec job, double cpus, double gpus, double memoryGb) {
     return cpus + EPSILON >= job.cpus()
         && gpus + EPSILON >= job.gpus()
@@ -60,7 +61,7 @@
     add(job, 1);
   }
 
-  /** Adds what some tasks of the job use. */
+  /** Adds what a number of tasks of the job use. */
   public void add(JobSpec job, int tasks) {
     cpus += job.cpus() * tasks;
     gpus += job.gpus() * tasks;
--- a/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingCycle.java
@@ -11,21 +11,21 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * One scheduling cycle, by the design in "Armada Scheduler":
+ * One scheduling cycle, following the design in "Armada Scheduler":
  *
  * <ol>
  *   <li>The waiting jobs are queued by team ({@link TeamQueues}).
- *   <li>In a full cycle, running tasks of some machines are evicted in memory, and are queued too
+ *   <li>In a full cycle, running tasks on some machines are evicted in memory and also queued
  *       ({@link Eviction}).
- *   <li>The team whose turn it is ({@link FairShareOrder}) places its next task, until all queues
- *       are empty: an evicted task on its own machine or not at all, another one on the best
- *       machine where it fits ({@link MachineSelector}), or else where preemption makes room for it
- *       ({@link PreemptionPlanner}).
- *   <li>Evicted tasks that found no place are preempted.
+ *   <li>Until all queues are empty, the next team in order ({@link FairShareOrder}) places its next
+ *       task. An evicted task can only be placed on the machine that it runs on. A waiting task is
+ *       placed on the best machine where it fits ({@link MachineSelector}), or otherwise on a
+ *       machine where preemption frees enough resources ({@link PreemptionPlanner}).
+ *   <li>Evicted tasks that could not be placed again are preempted.
  * </ol>
  *
- * <p>Where this departs from the design the classes named here say so. The result depends on the
- * arguments only; of these the machines, jobs and teams are changed.
+ * <p>Deviations from the design are documented in the classes named above. The result depends only
+ * on the arguments, of which the machines, jobs and teams are modified.
  */
 public final class SchedulingCycle {
   private final Collection<MachineView> machines;
@@ -55,12 +55,12 @@
   /**
    * Runs a cycle.
    *
-   * @param machines the machines that may take tasks; of equal ones the first is preferred
+   * @param machines the machines that may take tasks; among equally good ones the first is selected
    * @param jobs the jobs with tasks that may be placed
-   * @param teams by name, with what their tasks use
-   * @param evict whether tasks that are running are reconsidered
-   * @param random decides whose tasks are evicted
-   * @param now seconds on the clock of {@link PlacedTask#runningSince}
+   * @param teams the teams by name, with the resources that their tasks use
+   * @param evict whether this is a full cycle, which may evict running tasks
+   * @param random selects the machines whose tasks are evicted
+   * @param now the current time in seconds, on the same clock as {@link PlacedTask#runningSince}
    */
   public static SchedulingPlan run(
       Collection<MachineView> machines,
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Places one task of the entry; returns true when the entry has nothing more to place. */
+  /** Places one task of the entry; returns whether the entry is finished and leaves the queue. */
   private boolean placeNext(QueueEntry entry, Team team) {
     if (entry instanceof QueueEntry.Evicted evicted) {
       placeEvicted(evicted, team);
@@ -127,6 +127,7 @@
     return pending.isEmpty();
   }
 
+  /** Places an evicted task on its machine again, or preempts it if it no longer fits there. */
   private void placeEvicted(QueueEntry.Evicted evicted, Team team) {
     JobSpec job = evicted.job();
     MachineView machine = evicted.machine();
@@ -142,7 +143,8 @@
   }
 
   /**
-   * A task that fits only once others have stopped keeps its place, and starts in a later cycle.
+   * Places a task. If the task fits only after other tasks have stopped, its resources are assigned
+   * in this cycle and it is started in a later one.
    */
   private void place(PendingJob pending, TaskId task, MachineView machine, Team team) {
     JobSpec job = pending.job();
@@ -158,7 +160,10 @@
     }
   }
 
-  /** Makes room for a task by preemption; returns the machine, or null where none has such room. */
+  /**
+   * Preempts tasks to free resources for a task; returns the machine, or null if no permitted
+   * preemption frees enough.
+   */
   private @Nullable MachineView preempt(PendingJob pending, TaskId task, Team team) {
     JobSpec job = pending.job();
     boolean guaranteed = team.isWithinGuaranteeWith(job);
--- a/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
@@ -5,12 +5,12 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * What a cycle decided.
+ * The result of a scheduling cycle.
  *
  * @param placements tasks to start, in the order in which they were placed
  * @param preemptions tasks to stop
- * @param unplaced tasks that fit nowhere, in the order in which they were tried
- * @param quotaLimited tasks that a limit holds back
+ * @param unplaced tasks that fit on no machine, in the order in which they were tried
+ * @param quotaLimited tasks that were not placed because of their team's limit
  */
 public record SchedulingPlan(
     List<Placement> placements,
@@ -19,34 +19,36 @@
     List<QuotaLimitedTasks> quotaLimited) {
 
   /**
-   * A task that is to be started.
+   * A task to start.
    *
    * @param machine the machine's id
-   * @param overdue whether it was placed before all others since its job had waited for very long
-   * @param usageBefore what counted against its team's limit before it was placed
+   * @param overdue whether the task was placed before all others because its job had waited for
+   *     very long
+   * @param usageBefore the usage that counted against the team's limit before the task was placed
    */
   public record Placement(TaskId task, String machine, boolean overdue, QuotaUsage usageBefore) {}
 
   /**
-   * A task that is to be stopped.
+   * A task to stop.
    *
    * @param machine the machine's id
    */
   public record Preemption(TaskId task, String machine, PreemptionReason reason) {}
 
   /**
-   * Tasks of a job that found no place although the team's limit lets them run.
+   * Tasks of a job that fit on no machine although the team's limit allows them.
    *
-   * @param tasks how many tasks; 0 when the limit lets less than one of them run
+   * @param tasks the number of tasks; 0 if the limit allows less than one more task
    */
   public record UnplacedTasks(JobSpec job, int tasks) {}
 
   /**
-   * Tasks of a job that the team's limit holds back.
+   * Tasks of a job that were not placed because of the team's limit.
    *
-   * @param tasks how many tasks
-   * @param onlyByUnreconciled whether only by what may be on unreconciled machines
-   * @param usage what counted against the limit then
+   * @param tasks the number of tasks
+   * @param onlyByUnreconciled whether the limit is reached only because of the resources that may
+   *     be in use on unreconciled machines
+   * @param usage the usage that counted against the limit at that moment
    */
   public record QuotaLimitedTasks(
       JobSpec job, int tasks, boolean onlyByUnreconciled, QuotaUsage usage) {}
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -4,12 +4,13 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * A team during one cycle: what it is guaranteed, what it may use at most, and what its tasks use
- * or may be using.
+ * A team during one cycle: its guarantee, its limit, and the resources that its tasks use or may be
+ * using.
  *
- * <p>Two totals are kept apart. The <em>share</em> is compared with the guarantee and with other
- * teams' shares; evicted tasks are not in it. The <em>quota usage</em> is compared with the limit;
- * evicted tasks are in it, since they are on their machines until they are known to have stopped.
+ * <p>There are two separate totals. The <em>share</em> is compared with the guarantee and with
+ * other teams' shares; evicted tasks are not in it. The <em>quota usage</em> is compared with the
+ * limit; evicted tasks are in it, since they are on their machines until they are known to have
+ * stopped.
  */
 public final class Team {
   private final TeamQuota quota;
@@ -17,7 +18,7 @@
 
   private final Resources share = Resources.zero();
 
-  /** The cost of the tasks in the share. */
+  /** The total cost of the tasks in the share. */
   private double shareCost;
 
   private final Resources launched = Resources.zero();
@@ -26,9 +27,10 @@
   private final Resources unattributed = Resources.zero();
 
   /**
-   * A team without tasks.
+   * Creates a team without tasks.
    *
-   * @param weight its part of the cluster in relation to the weights of other teams; above 0
+   * @param weight the team's fair share of the cluster, relative to the weights of other teams;
+   *     above 0
    */
   public Team(TeamQuota quota, double weight) {
     this.quota = quota;
@@ -43,23 +45,29 @@
     return quota;
   }
 
-  /** What the team's tasks use but for evicted ones, and what its open jobs may be using. */
+  /**
+   * Returns the resources used by the team's tasks, except evicted ones, and the resources that
+   * tasks of its open jobs may be using on unreconciled machines.
+   */
   Resources share() {
     return share;
   }
 
-  /** Counts a task that is on a machine, or is being launched there. */
+  /** Adds a task that is on a machine or is being launched on it. */
   public void addLaunched(JobSpec job, SchedulingSettings settings) {
     addToShare(job, settings);
     launched.add(job);
   }
 
-  /** Notes that a task which is counted as launched is running or saves a checkpoint. */
+  /**
+   * Adds a task that is running or saving a checkpoint. It must also be added with {@link
+   * #addLaunched}.
+   */
   public void addRunning(JobSpec job) {
     running.add(job);
   }
 
-  /** Counts what tasks of the team's open jobs may be using on unreconciled machines. */
+  /** Adds resources that tasks of the team's open jobs may be using on unreconciled machines. */
   public void addPossible(double cpus, double gpus) {
     Resources amount = new Resources(cpus, gpus, 0);
     share.add(amount);
@@ -67,26 +75,26 @@
   }
 
   /**
-   * Counts what may be in use on unreconciled machines by tasks that belong to no open job, as far
-   * as is known. It counts against the limit only.
+   * Adds resources that may be in use on unreconciled machines by tasks that belong to no open job,
+   * as far as known. They count against the limit only.
    */
   public void addUnattributed(double cpus, double gpus) {
     unattributed.add(new Resources(cpus, gpus, 0));
   }
 
-  /** Counts a task into the team's share. */
+  /** Adds a task to the team's share. */
   void addToShare(JobSpec job, SchedulingSettings settings) {
     share.add(job);
     shareCost += settings.cost(job);
   }
 
-  /** Takes a task that was evicted or is to be preempted out of the team's share. */
+  /** Removes a task that was evicted or is to be preempted from the team's share. */
   void removeFromShare(JobSpec job, SchedulingSettings settings) {
     share.subtract(job);
     shareCost -= settings.cost(job);
   }
 
-  /** What counts against the limit now. */
+  /** Returns the usage that currently counts against the limit. */
   public QuotaUsage quotaUsage() {
     return new QuotaUsage(
         quota.name(),
@@ -96,12 +104,15 @@
             running.gpus, launched.gpus, possible.gpus, unattributed.gpus, quota.maxGpus()));
   }
 
-  /** Whether the limit lets one more task of the job run. */
+  /** Returns whether the limit allows one more task of the job. */
   boolean isWithinLimitWith(JobSpec job) {
     return isWithinLimitWith(job, countedCpus(), countedGpus());
   }
 
-  /** Whether the limit would let one more task run if all machines were reconciled and empty. */
+  /**
+   * Returns whether the limit would allow one more task of the job if nothing were in use on the
+   * unreconciled machines.
+   */
   boolean isWithinLimitIfReconciledWith(JobSpec job) {
     return isWithinLimitWith(job, launched.cpus, launched.gpus);
   }
@@ -111,7 +122,7 @@
         && (quota.maxGpus() <= 0 || usedGpus + job.gpus() <= quota.maxGpus() + Resources.EPSILON);
   }
 
-  /** How many of some tasks of the job the limit on CPUs lets run. */
+  /** Returns how many of a number of tasks of the job the CPU limit allows. */
   int tasksWithinLimit(JobSpec job, int tasks) {
     return quota.maxCpus() <= 0 || job.cpus() <= 0
         ? tasks
@@ -126,19 +137,28 @@
     return launched.gpus + possible.gpus + unattributed.gpus;
   }
 
-  /** Whether the team with one more task of the job has no more than it is guaranteed. */
+  /**
+   * Returns whether the team's share with one more task of the job is within its guarantee. False
+   * if the team has no guarantee.
+   */
   boolean isWithinGuaranteeWith(JobSpec job) {
     return (quota.guaranteedCpus() > 0 || quota.guaranteedGpus() > 0)
         && share.cpus + job.cpus() <= quota.guaranteedCpus() + Resources.EPSILON
         && share.gpus + job.gpus() <= quota.guaranteedGpus() + Resources.EPSILON;
   }
 
-  /** Whether the team, without this task of its own, still has all that it is guaranteed. */
+  /**
+   * Returns whether the team's share would still meet its guarantee without one task of the job,
+   * which is one of the team's own.
+   */
   boolean isGuaranteeMetWithout(JobSpec job) {
     return !isBelowGuaranteeWithout(job.cpus(), job.gpus());
   }
 
-  /** Whether the team, without these tasks of its own, has less than it is guaranteed. */
+  /**
+   * Returns whether the team's share would be below its guarantee without these tasks, which are
+   * the team's own.
+   */
   boolean isBelowGuaranteeWithout(Resources tasks) {
     return isBelowGuaranteeWithout(tasks.cpus, tasks.gpus);
   }
@@ -153,10 +173,10 @@
   }
 
   /**
-   * The fraction of its fair share that the team would have with one more task, up to a factor that
-   * is the same for all teams.
+   * Returns the fraction of its fair share that the team would use with one more task, up to a
+   * factor that is the same for all teams.
    *
-   * @param cost the task's cost
+   * @param cost the cost of the task, see {@link SchedulingSettings#cost}
    */
   double fractionOfShareWith(double cost) {
     return (shareCost + cost) / weight;
--- a/src/main/java/org/saffronshore/scheduling/TeamQueue.java
+++ b/src/main/java/org/saffronshore/scheduling/TeamQueue.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The entries of one team in the order in which they are placed, and how far a cycle has come. */
+/**
+ * The entries of one team in the order in which they are placed, and the position that the cycle
+ * has reached.
+ */
 final class TeamQueue {
   private static final Comparator<QueueEntry> OVERDUE_THEN_PRIORITY =
       Comparator.comparing((QueueEntry entry) -> !entry.isOverdue())
@@ -17,7 +20,7 @@
   private int headIndex;
 
   /**
-   * @param index the queue's place among the queues of all teams, which decides between equals
+   * @param index the index of the queue among the queues of all teams; breaks ties between teams
    */
   TeamQueue(Team team, int index) {
     this.team = team;
@@ -41,14 +44,17 @@
     hasEvicted = true;
   }
 
-  /** Puts evicted tasks before the team's other entries of the same priority. */
+  /**
+   * Moves evicted tasks, which were added at the front, before the team's other entries of the same
+   * priority.
+   */
   void sortEvicted() {
     if (hasEvicted) {
       entries.sort(OVERDUE_THEN_PRIORITY);
     }
   }
 
-  /** Whether a task that waits would still be within what the team is guaranteed. */
+  /** Returns whether any entry has a task that would be within the team's guarantee. */
   boolean hasTaskWithinGuarantee() {
     for (QueueEntry entry : entries) {
       if (team.isWithinGuaranteeWith(entry.job())) {
--- a/src/main/java/org/saffronshore/scheduling/TeamQueues.java
+++ b/src/main/java/org/saffronshore/scheduling/TeamQueues.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** The queues of all teams that have anything to place. */
+/** The queues of all teams that have tasks to place. */
 final class TeamQueues {
   private static final Comparator<PendingJob> SUBMISSION_ORDER_IN_PRIORITY =
       Comparator.comparing((PendingJob pending) -> !pending.isOverdue())
@@ -20,7 +20,10 @@
   private final Map<String, Team> teams;
   private final Map<String, TeamQueue> queues = new LinkedHashMap<>();
 
-  /** Queues the jobs of known teams by priority, then in the order of their submission. */
+  /**
+   * Creates queues with the jobs of known teams: overdue jobs first, then by priority, then in the
+   * order of submission.
+   */
   TeamQueues(Collection<PendingJob> jobs, Map<String, Team> teams) {
     this.teams = teams;
     List<PendingJob> ordered = new ArrayList<>(jobs);
@@ -37,12 +40,12 @@
     return queues.computeIfAbsent(team.name(), name -> new TeamQueue(team, queues.size()));
   }
 
-  /** The queues, in the order in which they came to have an entry. */
+  /** Returns the queues in the order in which they were created. */
   Collection<TeamQueue> all() {
     return queues.values();
   }
 
-  /** The names of teams with a waiting task that would still be within their guarantee. */
+  /** Returns the names of the teams with a waiting task that would be within their guarantee. */
   Set<String> teamsBelowGuarantee() {
     Set<String> names = new HashSet<>();
     queues.forEach(
@@ -54,17 +57,20 @@
     return names;
   }
 
-  /** The team of that name, or null when there is none. */
+  /** Returns the team with this name, or null if there is none. */
   @Nullable Team team(String name) {
     return teams.get(name);
   }
 
-  /** Adds an evicted task, which has its place in the queue only after {@link #sortEvicted}. */
+  /**
+   * Adds an evicted task to the queue of its team. The queue is in order again only after {@link
+   * #sortEvicted}.
+   */
   void addEvicted(Team owner, QueueEntry.Evicted evicted) {
     queueOf(owner).addEvicted(evicted);
   }
 
-  /** Sorts the queues that have evicted tasks. */
+  /** Sorts the queues to which evicted tasks were added. */
   void sortEvicted() {
     queues.values().forEach(TeamQueue::sortEvicted);
   }
--- a/src/main/java/org/saffronshore/scheduling/VictimSelector.java
+++ b/src/main/java/org/saffronshore/scheduling/VictimSelector.java
@@ -10,9 +10,10 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * The rules of preemption on one machine. A task may be preempted for one of higher priority or for
- * another team's guarantee. What its own team is guaranteed is left to that team, unless the task
- * yields to one of higher priority that is of the same team or within another team's guarantee.
+ * Selects the tasks to preempt on one machine. A task may be preempted for a task of higher
+ * priority or for another team's guarantee. Preemption must not reduce a team's share below its
+ * guarantee, unless the task is preempted for a task of higher priority that belongs to the same
+ * team or is within another team's guarantee.
  */
 final class VictimSelector {
   private final Map<String, Team> teams;
@@ -20,7 +21,7 @@
   private final double now;
 
   /**
-   * @param now seconds on the clock of {@link PlacedTask#runningSince}
+   * @param now the current time in seconds, on the same clock as {@link PlacedTask#runningSince}
    */
   VictimSelector(Map<String, Team> teams, SchedulingSettings settings, double now) {
     this.teams = teams;
@@ -28,9 +29,12 @@
     this.now = now;
   }
 
-  /** The work that preemption of these tasks would lose: seconds, weighted by their cost. */
+  /**
+   * Returns the work that would be lost by preempting these tasks: seconds of running time,
+   * weighted by the cost of each task.
+   */
   double loss(List<PlacedTask> victims) {
-    // The stream's sum compensates for rounding errors, which matters where losses are compared.
+    // DoubleStream.sum compensates for rounding errors, which matters when losses are compared.
     return victims.stream().mapToDouble(this::loss).sum();
   }
 
@@ -39,40 +43,41 @@
   }
 
   /**
-   * The tasks to preempt on a machine so that a task of the job fits there, or null where that is
-   * impossible.
+   * Returns the tasks to preempt on a machine so that a task of the job fits there, or null if
+   * there are no such tasks.
    *
    * @param guaranteed whether the job's task is within its team's guarantee
    */
   @Nullable List<PlacedTask> select(MachineView machine, JobSpec job, boolean guaranteed) {
-    Resources room = machine.freeAfterStops().copy();
+    Resources free = machine.freeAfterStops().copy();
     List<PlacedTask> victims = new ArrayList<>();
     Map<String, Resources> preemptedByTeam = new HashMap<>();
     for (PlacedTask candidate : candidates(machine, job, guaranteed)) {
-      if (room.fits(job)) {
+      if (free.fits(job)) {
         break;
       }
       String team = candidate.job().team();
       Resources preempted = preemptedByTeam.computeIfAbsent(team, name -> Resources.zero());
       preempted.add(candidate.job());
-      // Several victims of one team may together reach into its guarantee even if none does alone.
+      // Several victims of one team may together reduce its share below its guarantee even if none
+      // of them does so alone.
       if (!isPreemptibleRegardlessOfGuarantee(candidate.job(), job, guaranteed)
           && ownerOf(candidate).isBelowGuaranteeWithout(preempted)) {
         preempted.subtract(candidate.job());
         continue;
       }
       victims.add(candidate);
-      room.add(candidate.job());
+      free.add(candidate.job());
     }
-    return room.fits(job) && !victims.isEmpty() ? victims : null;
+    return free.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
-  /** The team of a candidate, which a task of no known team cannot be. */
+  /** Returns the team of a candidate. Only tasks of known teams are candidates. */
   private Team ownerOf(PlacedTask candidate) {
     return Objects.requireNonNull(teams.get(candidate.job().team()));
   }
 
-  /** The tasks that may be preempted for the job, the least loss first. */
+  /** Returns the tasks that may be preempted for the job, in ascending order of loss. */
   private List<PlacedTask> candidates(MachineView machine, JobSpec job, boolean guaranteed) {
     List<PlacedTask> candidates = new ArrayList<>();
     for (PlacedTask task : machine.preemptibleTasks()) {
@@ -96,9 +101,9 @@
   }
 
   /**
-   * Whether a running task yields to the waiting one even if its team then has less than its
-   * guarantee. Of two teams only the one within its guarantee may preempt the other's in this way,
-   * or they would preempt one another in turn.
+   * Returns whether a running task may be preempted for the waiting one even if that reduces its
+   * team's share below its guarantee. Between two teams, this is allowed only for a task within its
+   * own team's guarantee; otherwise the teams would preempt each other in turn.
    */
   private static boolean isPreemptibleRegardlessOfGuarantee(
       JobSpec running, JobSpec waiting, boolean guaranteed) {
