--- a/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
+++ b/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
@@ -23,8 +23,11 @@
   }
 
   /**
-   * 4 tasks every second for a time, submitted then or found waiting when the term began, and how
-   * long ago that ended; then how many are expected within 10 s.
+   * Jobs of 4 tasks arrive every second for some time, either newly submitted or found waiting at
+   * the start of the term.
+   *
+   * @param endedAgoS how long ago the arrivals ended
+   * @param expected the number of tasks that are expected to arrive within 10 s
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
+++ b/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
@@ -12,8 +12,12 @@
 
 class DisplacedTasksTest {
   /**
-   * Four tasks of 4 CPUs run on machines of each type. CPUs and number of the waiting tasks, and
-   * the scarce type; then how many of the running tasks are displaced.
+   * Four tasks of 4 CPUs run on machines of each type.
+   *
+   * @param waitingCpus the CPUs of each waiting task
+   * @param waiting the number of waiting tasks
+   * @param scarce the scarce type
+   * @param displaced the number of running tasks that are displaced
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/org/saffronshore/fleet/FleetTestData.java
+++ b/src/test/java/org/saffronshore/fleet/FleetTestData.java
@@ -8,7 +8,7 @@
 import org.saffronshore.wire.MachineType;
 import org.saffronshore.wire.Priority;
 
-/** Machine types and jobs that the tests of this package have in common. */
+/** Machine types and jobs shared by the tests of this package. */
 final class FleetTestData {
   static final Map<String, MachineType> TYPES =
       Map.of(
@@ -17,7 +17,7 @@
 
   private FleetTestData() {}
 
-  /** A job of a hundred tasks that is confined to a zone, unless that is null. */
+  /** Returns a job of 100 tasks that is restricted to a zone, or to none if the zone is null. */
   static JobSpec job(double cpus, boolean spot, @Nullable String zone) {
     return JobBuilder.job("wk-1", "red", Priority.URGENT)
         .tasks(100)
--- a/src/test/java/org/saffronshore/fleet/ForecastTest.java
+++ b/src/test/java/org/saffronshore/fleet/ForecastTest.java
@@ -15,8 +15,12 @@
 
 class ForecastTest {
   /**
-   * One machine whose 8 CPUs are released after some seconds, while a new machine would be up after
-   * 40; waiting tasks of 4 CPUs, and how many of them are late.
+   * Tasks of 4 CPUs wait for one machine whose 8 CPUs are in use. A new machine would be up after
+   * 40 s.
+   *
+   * @param releasedAfterS when the running task releases the 8 CPUs
+   * @param tasks the number of waiting tasks
+   * @param late the number of waiting tasks that are late
    */
   @ParameterizedTest
   @CsvSource({"10, 1, 0", "39, 1, 0", "41, 1, 1", "10, 3, 1", "10, 2, 0"})
--- a/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
+++ b/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
@@ -14,7 +14,10 @@
 import org.saffronshore.wire.MachineKind;
 
 class ScaleOutPlanTest {
-  /** Tasks, CPUs of each, spot, zone, kind that the cloud lacks; then what is ordered. */
+  /**
+   * The number of tasks, the CPUs of each, whether they allow spot machines, their zone, the kind
+   * of machine that the cloud has none of, and the expected orders.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
+++ b/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
@@ -11,9 +11,13 @@
 class OverdueJobTest extends SchedulingTestBase {
 
   /**
-   * A large standard job that has waited for very long beside a queue of urgent ones, a machine of
-   * 8 CPUs on which some are free: what the cycle places. It gets one task, or else the room is
-   * kept until it is large enough.
+   * Tasks of 8 CPUs of a standard job wait beside urgent tasks of 4 CPUs for one machine. Without
+   * the rule for overdue jobs, the urgent tasks would use all released CPUs and the standard job
+   * would never start. If the job is overdue, one of its tasks is placed first, or, while it does
+   * not fit, the machine is reserved for it.
+   *
+   * @param freeCpus the free CPUs of the machine, which has 8 or, if more are free, that many
+   * @param placed the priorities of the placed tasks, in order
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/org/saffronshore/scheduling/PlacementTest.java
+++ b/src/test/java/org/saffronshore/scheduling/PlacementTest.java
@@ -17,7 +17,7 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** On which machines waiting tasks are placed. */
+/** Tests on which machines waiting tasks are placed. */
 class PlacementTest extends SchedulingTestBase {
 
   @Test
@@ -33,7 +33,10 @@
     assertEquals(List.of("own", "shared", "empty"), machinesUsed(run(0)));
   }
 
-  /** Constraints of a job of 4 tasks, and how many of them two zones with room for all can take. */
+  /**
+   * The constraints of a job of 4 tasks, its team's CPU limit, and the number of tasks that are
+   * placed in two zones. Without constraints, all 4 tasks fit.
+   */
   @ParameterizedTest
   @CsvSource({
     "false, false, , true, 0, 4",
--- a/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
+++ b/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
@@ -10,10 +10,13 @@
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Priority;
 
-/** Which running tasks are preempted or evicted for others. */
+/** Tests which running tasks are preempted or evicted for others. */
 class PreemptionTest extends SchedulingTestBase {
 
-  /** What runs on the only machine, what waits, and whether the one may be preempted. */
+  /**
+   * The task that runs on the only machine, the task that waits, and whether the running task may
+   * be preempted. Team G has a guarantee; the other teams have none.
+   */
   @ParameterizedTest
   @CsvSource({
     "F, STANDARD, H, URGENT, true",
@@ -40,7 +43,7 @@
     for (double evictionProbability : new double[] {0, 1}) {
       SchedulingPlan plan = run(evictionProbability);
       assertEquals(preempted, !plan.preemptions().isEmpty());
-      assertEquals(0, plan.placements().size(), "nothing starts before the room is free");
+      assertEquals(0, plan.placements().size(), "no task starts before the resources are free");
       if (preempted) {
         return;
       }
@@ -48,8 +51,9 @@
   }
 
   /**
-   * An evicted task is on its machine until it has been stopped: its team's waiting urgent task
-   * must not start elsewhere on the strength of an eviction that is only in memory.
+   * Guards against a team that exceeds its limit. An evicted task remains on its machine until it
+   * has stopped. If an eviction, which is only in memory, reduced the usage of the team, its
+   * waiting urgent task would be started on another machine in addition.
    */
   @Test
   void evictedTaskCountsAgainstTeamLimit() {
@@ -63,7 +67,7 @@
     assertEquals(List.of(), run(1).placements());
   }
 
-  /** The texts stand in log lines. */
+  /** The texts appear in log lines and must not change. */
   @Test
   void preemptionReasonIsFormattedForLogLines() {
     assertEquals(
--- a/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -17,15 +17,19 @@
 import org.saffronshore.wire.TaskId;
 
 /**
- * The cycle without anything that only makes it faster: it looks at every machine for every task.
- * {@link SchedulingCycleEquivalenceTest} compares the plans of the real one with its plans. It
- * repeats the rules of the real cycle on purpose, in one file and without its classes, so that a
- * fault in those shows; it leaves out overdue jobs.
+ * A reference implementation of the scheduling cycle without optimizations: it examines every
+ * machine for every task. {@link SchedulingCycleEquivalenceTest} compares the plans of {@link
+ * SchedulingCycle} with its plans. It deliberately duplicates the rules of the cycle in one file,
+ * without using the classes that implement them, so that a fault in those classes is detected. It
+ * does not support overdue jobs.
  */
 final class ReferenceCycle {
   private static final double EPSILON = 1e-6;
 
-  /** A queue entry: a pending job, or one evicted task that may only return to its own machine. */
+  /**
+   * A queue entry: a pending job, or one evicted task that may only be placed again on its own
+   * machine.
+   */
   private record Entry(
       @Nullable PendingJob pending,
       @Nullable PlacedTask evicted,
@@ -56,7 +60,7 @@
     this.now = now;
   }
 
-  /** Runs a cycle; only one with {@code evict} reconsiders tasks that are running. */
+  /** Runs a cycle; running tasks are evicted only if {@code evict} is true. */
   static SchedulingPlan run(
       Collection<MachineView> machines,
       Collection<PendingJob> jobs,
@@ -98,8 +102,8 @@
   }
 
   /**
-   * Takes preemptible tasks off their machines, in memory only: among equals, only what a team runs
-   * beyond its guarantee, and only to give another its guarantee.
+   * Evicts preemptible tasks from their machines, in memory only: among tasks of equal priority,
+   * only tasks that a team runs beyond its guarantee, and only to give another team its guarantee.
    */
   private void evict(RandomGenerator random) {
     Set<String> belowGuarantee = new HashSet<>();
@@ -112,7 +116,7 @@
     if (belowGuarantee.isEmpty()) {
       return;
     }
-    Set<String> changed = new HashSet<>();
+    Set<String> teamsWithEvictions = new HashSet<>();
     for (MachineView machine : machines) {
       if (random.nextDouble() >= settings.evictionProbability()) {
         continue;
@@ -128,16 +132,16 @@
         machine.evict(task);
         owner.removeFromShare(task.job(), settings);
         queueOf(name).add(0, new Entry(null, task, machine));
-        changed.add(name);
+        teamsWithEvictions.add(name);
       }
     }
-    // Evicted tasks head their queues, in each priority.
-    for (String name : changed) {
+    // Evicted tasks are placed before the other entries of the same priority.
+    for (String name : teamsWithEvictions) {
       queueOf(name).sort(Comparator.comparingInt(entry -> -entry.job().priority().rank()));
     }
   }
 
-  /** What the next entry of a team stands for when teams are compared. */
+  /** The sort key of a team, computed from the next entry of its queue. */
   private record Head(String team, boolean guaranteed, int priority, double fraction, int index) {
     static final Comparator<Head> ORDER =
         Comparator.comparing((Head head) -> !head.guaranteed)
@@ -177,7 +181,7 @@
         index);
   }
 
-  /** Places one task of the entry; true when the entry has nothing more to place. */
+  /** Places one task of the entry; returns whether the entry is finished and leaves the queue. */
   private boolean placeNext(Entry entry, Team team) {
     if (entry.evicted != null) {
       placeEvicted(entry.evicted, Objects.requireNonNull(entry.evictedFrom), team);
@@ -204,25 +208,25 @@
       return true;
     }
     pending.markNextTaskPlaced(machine.kind().zone());
-    QuotaUsage counted = team.quotaUsage();
+    QuotaUsage usageBefore = team.quotaUsage();
     team.addLaunched(job, settings);
     machine.place(job);
     if (machine.freeNow().fits(job)) {
       machine.freeNow().subtract(job);
-      placements.add(new SchedulingPlan.Placement(task, machine.id(), false, counted));
+      placements.add(new SchedulingPlan.Placement(task, machine.id(), false, usageBefore));
     }
     return pending.isEmpty();
   }
 
-  private void placeEvicted(PlacedTask evicted, MachineView home, Team team) {
+  private void placeEvicted(PlacedTask evicted, MachineView machine, Team team) {
     JobSpec job = evicted.job();
-    if (home.freeAfterStops().fits(job)) {
-      home.place(job);
+    if (machine.freeAfterStops().fits(job)) {
+      machine.place(job);
       team.addToShare(job, settings);
     } else {
       preemptions.add(
           new SchedulingPlan.Preemption(
-              evicted.task(), home.id(), new PreemptionReason.EvictedForGuarantee()));
+              evicted.task(), machine.id(), new PreemptionReason.EvictedForGuarantee()));
     }
   }
 
@@ -268,8 +272,8 @@
   }
 
   /**
-   * Makes room on the machine where that wastes the least work, by preemptions that the protocol
-   * allows; null if nowhere.
+   * Preempts tasks to free resources on the machine where the least work is lost, as far as the
+   * protocol allows; returns the machine, or null if there is none.
    */
   private @Nullable MachineView preempt(PendingJob pending, TaskId task, Team team) {
     JobSpec job = pending.job();
@@ -314,28 +318,29 @@
   }
 
   private @Nullable List<PlacedTask> victims(MachineView machine, JobSpec job, boolean guaranteed) {
-    Resources room = machine.freeAfterStops().copy();
+    Resources free = machine.freeAfterStops().copy();
     List<PlacedTask> victims = new ArrayList<>();
     Map<String, Resources> preemptedByTeam = new HashMap<>();
     for (PlacedTask task : candidates(machine, job, guaranteed)) {
-      if (room.fits(job)) {
+      if (free.fits(job)) {
         break;
       }
       String team = task.job().team();
-      boolean lower =
+      boolean regardlessOfGuarantee =
           task.job().priority().rank() < job.priority().rank()
               && (guaranteed || team.equals(job.team()));
       Resources preempted = preemptedByTeam.computeIfAbsent(team, name -> new Resources(0, 0, 0));
       preempted.add(task.job());
-      // Several victims of one team may together reach into its guarantee even if none does alone.
-      if (!lower && reachesGuarantee(team(team), preempted)) {
+      // Several victims of one team may together reduce its share below its guarantee even if none
+      // of them does so alone.
+      if (!regardlessOfGuarantee && reachesGuarantee(team(team), preempted)) {
         preempted.subtract(task.job());
         continue;
       }
       victims.add(task);
-      room.add(task.job());
+      free.add(task.job());
     }
-    return room.fits(job) && !victims.isEmpty() ? victims : null;
+    return free.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
   private static boolean reachesGuarantee(Team owner, Resources preempted) {
@@ -352,12 +357,13 @@
       if (owner == null) {
         continue;
       }
-      boolean lower = task.job().priority().rank() < job.priority().rank();
-      boolean own = task.job().team().equals(job.team());
-      // Of two teams only the one within its guarantee may preempt the other, or they would do so
-      // in turn.
-      if ((lower && (guaranteed || own))
-          || ((lower || (guaranteed && !own)) && owner.isGuaranteeMetWithout(task.job()))) {
+      boolean hasLowerPriority = task.job().priority().rank() < job.priority().rank();
+      boolean sameTeam = task.job().team().equals(job.team());
+      // Between two teams, a task may reduce the other team's share below its guarantee only if it
+      // is within its own team's guarantee; otherwise the teams would preempt each other in turn.
+      if ((hasLowerPriority && (guaranteed || sameTeam))
+          || ((hasLowerPriority || (guaranteed && !sameTeam))
+              && owner.isGuaranteeMetWithout(task.job()))) {
         candidates.add(task);
       }
     }
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
@@ -11,14 +11,17 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** What makes the cycle fast must not change what it decides. */
+/**
+ * Guards against optimizations that change the result of the scheduling cycle: for random clusters,
+ * its plan must equal the plan of {@link ReferenceCycle}.
+ */
 class SchedulingCycleEquivalenceTest extends SchedulingTestBase {
   private static final int ROUNDS = 40;
   private static final int MACHINES = 12;
   private static final int TASKS_PER_MACHINE = 4;
   private static final int WAITING_JOBS = 12;
 
-  /** The number of the first waiting job; running jobs have smaller ones. */
+  /** The number in the id of the first waiting job; running jobs have smaller numbers. */
   private static final int FIRST_WAITING = 100;
 
   @ParameterizedTest
@@ -28,11 +31,11 @@
       Random random = new Random(seed * 1000 + round);
       boolean evict = random.nextBoolean();
       SchedulingSettings settings = new SchedulingSettings(5, evict ? 0.5 : 0, 1, 0);
-      long viewSeed = random.nextLong();
-      setUpCluster(new Random(viewSeed));
+      long clusterSeed = random.nextLong();
+      setUpCluster(new Random(clusterSeed));
       SchedulingPlan expected =
           ReferenceCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
-      setUpCluster(new Random(viewSeed));
+      setUpCluster(new Random(clusterSeed));
       SchedulingPlan actual =
           SchedulingCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
       assertEquals(expected, actual);
@@ -75,7 +78,10 @@
     }
   }
 
-  /** The order of the calls decides which views there are. */
+  /**
+   * Creates a random job. The order of the calls to {@code random} determines the clusters under
+   * test.
+   */
   private static JobSpec randomJob(String id, Random random) {
     String team = List.of("F", "G", "H").get(random.nextInt(3));
     Priority priority = List.of(Priority.STANDARD, Priority.URGENT).get(random.nextInt(2));
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -11,8 +11,8 @@
 class SchedulingCycleTest extends SchedulingTestBase {
 
   /**
-   * The paper's example: 40 tasks of A on two machines of 32 cores, then 50 of B; each gets 32, and
-   * 8 are stopped.
+   * The example from "Armada Scheduler": two machines with 32 cores each run 40 tasks of team A
+   * when 50 tasks of team B arrive. Each team gets 32 cores, so that 8 tasks of A are preempted.
    */
   @Test
   void teamsWithEqualGuaranteesShareTwoMachinesAsInArmadaDesign() {
--- a/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingTestBase.java
@@ -15,18 +15,21 @@
 import org.saffronshore.wire.MachineKind;
 import org.saffronshore.wire.TaskId;
 
-/** Machines, waiting jobs and teams that a test sets up, and cycles over them. */
+/**
+ * Base class of tests that set up machines, waiting jobs and teams and run scheduling cycles on
+ * them.
+ */
 abstract class SchedulingTestBase {
   static final double NOW = 100;
 
-  /** Since when the tasks run that {@link #addRunningTasks} adds. */
+  /** The start time of the tasks that {@link #addRunningTasks} adds. */
   private static final double RUNNING_SINCE = NOW - 10;
 
   final List<MachineView> machines = new ArrayList<>();
   final List<PendingJob> jobs = new ArrayList<>();
   final Map<String, Team> teams = new HashMap<>();
 
-  /** Adds a team with a guarantee and a limit of CPUs; 0 for none. */
+  /** Adds a team with a guarantee and a limit in CPUs; 0 for none. */
   void addTeam(String name, double guaranteedCpus, double maxCpus) {
     teams.put(
         name,
@@ -39,25 +42,29 @@
     return Objects.requireNonNull(teams.get(name));
   }
 
-  /** Adds an ordinary machine in zone a. */
+  /** Adds an on-demand machine in zone a. */
   MachineView addMachine(String id, double cpus) {
     return addMachine(id, "a", false, cpus);
   }
 
-  /** Adds a machine that has traces of some tasks. */
-  MachineView addMachine(String id, String zone, boolean spot, double cpus, TaskId... traces) {
+  /** Adds a machine that still has a record of some tasks. */
+  MachineView addMachine(
+      String id, String zone, boolean spot, double cpus, TaskId... recordedTasks) {
     MachineView machine =
         new MachineView(
             id,
             new MachineKind("big", zone, spot),
             new Resources(cpus, 0, 1000),
-            new HashSet<>(Arrays.asList(traces))::contains,
+            new HashSet<>(Arrays.asList(recordedTasks))::contains,
             Set.of());
     machines.add(machine);
     return machine;
   }
 
-  /** Adds the tasks of a job from one index up to another, which run on a machine. */
+  /**
+   * Adds running tasks of a job to a machine, with the indices from {@code from}, inclusive, to
+   * {@code to}, exclusive.
+   */
   void addRunningTasks(MachineView machine, JobSpec job, int from, int to) {
     for (int i = from; i < to; i++) {
       machine.add(new PlacedTask(new TaskId(job.id(), i), job, false, RUNNING_SINCE));
@@ -65,7 +72,7 @@
     }
   }
 
-  /** Adds a job of which all tasks wait. */
+  /** Adds a job whose tasks are all waiting. */
   PendingJob addWaitingJob(JobSpec job, long submissionOrder) {
     BitSet tasks = new BitSet();
     tasks.set(0, job.tasks());
@@ -74,19 +81,19 @@
     return pending;
   }
 
-  /** Runs a cycle, which evicts if the probability is above 0. */
+  /** Runs a cycle, which is a full one if the probability is above 0. */
   SchedulingPlan run(double evictionProbability) {
     SchedulingSettings settings = new SchedulingSettings(5, evictionProbability, 1, 0);
     return SchedulingCycle.run(
         machines, jobs, teams, settings, evictionProbability > 0, new Random(1), NOW);
   }
 
-  /** The ids of the jobs of which tasks were placed, one for each task in the order of placing. */
+  /** Returns the id of the job of each placed task, in the order of placement. */
   static List<String> placedJobs(SchedulingPlan plan) {
     return plan.placements().stream().map(placement -> placement.task().job()).toList();
   }
 
-  /** The ids of the machines on which tasks were placed, in the order of placing. */
+  /** Returns the id of the machine of each placed task, in the order of placement. */
   static List<String> machinesUsed(SchedulingPlan plan) {
     return plan.placements().stream().map(SchedulingPlan.Placement::machine).toList();
   }
--- a/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
+++ b/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
@@ -12,10 +12,13 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Whose waiting tasks are placed first. */
+/** Tests in which order the waiting tasks of teams are placed. */
 class TeamOrderTest extends SchedulingTestBase {
 
-  /** Team G has a guarantee; team F uses 4 CPUs already; the machine has room for one task. */
+  /**
+   * Team G has a guarantee and team F already uses 4 CPUs. The machine has enough CPUs for one
+   * task.
+   */
   @ParameterizedTest
   @CsvSource({
     "G, STANDARD, 1, F, URGENT, 2, wk-1",
@@ -49,8 +52,9 @@
   }
 
   /**
-   * The task of higher priority gets the room that is only being freed, in the same cycle. Placed
-   * first, the one of lower priority would be started, and preempted in the next cycle.
+   * Guards against starting a task of lower priority that the next cycle would preempt. The
+   * resources of a stopping task are assigned to the waiting task of higher priority in the same
+   * cycle, although they are not free yet and the task of lower priority was submitted first.
    */
   @Test
   void lowerPriorityTaskIsNotPlacedWhileHigherPriorityTaskWaitsForReleasedResources() {
