--- a/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
+++ b/src/test/java/org/saffronshore/scheduling/ReferenceCycle.java
@@ -333,7 +333,7 @@
       preempted.add(task.job());
       // Several victims of one team may together reduce its share below its guarantee even if none
       // of them does so alone.
-      if (!regardlessOfGuarantee && reachesGuarantee(team(team), preempted)) {
+      if (!regardlessOfGuarantee && isBelowGuaranteeWithout(team(team), preempted)) {
         preempted.subtract(task.job());
         continue;
       }
@@ -343,7 +343,7 @@
     return free.fits(job) && !victims.isEmpty() ? victims : null;
   }
 
-  private static boolean reachesGuarantee(Team owner, Resources preempted) {
+  private static boolean isBelowGuaranteeWithout(Team owner, Resources preempted) {
     return (owner.quota().guaranteedCpus() > 0
             && owner.share().cpus - preempted.cpus < owner.quota().guaranteedCpus() - EPSILON)
         || (owner.quota().guaranteedGpus() > 0
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
@@ -22,7 +22,7 @@
   private static final int WAITING_JOBS = 12;
 
   /** The number in the id of the first waiting job; running jobs have smaller numbers. */
-  private static final int FIRST_WAITING = 100;
+  private static final int FIRST_WAITING_JOB = 100;
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -56,11 +56,11 @@
               random.nextBoolean() ? "a" : "b",
               random.nextBoolean(),
               random.nextBoolean() ? 4 : 16,
-              new TaskId("wk-" + (FIRST_WAITING + random.nextInt(WAITING_JOBS)), 0));
+              new TaskId("wk-" + (FIRST_WAITING_JOB + random.nextInt(WAITING_JOBS)), 0));
       addRunningTasks(machine, i * TASKS_PER_MACHINE, random);
     }
     for (int i = 0; i < WAITING_JOBS; i++) {
-      addWaitingJob(randomJob("wk-" + (FIRST_WAITING + i), random), i);
+      addWaitingJob(randomJob("wk-" + (FIRST_WAITING_JOB + i), random), i);
     }
   }
 
