--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -153,7 +153,10 @@
     tasksPerTeam.merge(job.team(), 1, Integer::sum);
   }
 
-  /** Prevents further placements on the machine in this cycle. */
+  /**
+   * Reserves the machine for the rest of the cycle: no more tasks that require CPUs are placed on
+   * it, and {@link PreemptionPlanner} does not select it.
+   */
   void reserve() {
     modified = true;
     reserved = true;
--- a/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
+++ b/src/main/java/org/saffronshore/scheduling/OverdueReservation.java
@@ -14,7 +14,7 @@
 final class OverdueReservation {
   private OverdueReservation() {}
 
-  /** Reserves a machine for the task if there is one that would be large enough when empty. */
+  /** Reserves a machine for the task if there is one that has enough CPUs for it when empty. */
   static void reserve(Collection<MachineView> machines, PendingJob pending, TaskId task) {
     MachineView machine = machineWithMostFreeCpus(machines, pending, task);
     if (machine != null) {
