--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -75,7 +75,7 @@
     jobs.put(spec.id(), job);
     dependencies.add(spec.id(), spec.priority(), spec.dependencies());
     if (spec.dependencies().isEmpty()) {
-      arrivals.jobArrived(spec, version > termVersion, loop.now());
+      arrivals.recordJob(spec, version > termVersion, loop.now());
     } else {
       job.markNotReady();
       updateReadiness(job);
@@ -112,7 +112,7 @@
     if (!job.isReady() && dependencies.isReady(job.id())) {
       LOG.debug("All dependencies are done: job={}", job.id());
       job.markReady(dependencies.readyAtMs(job.id()));
-      arrivals.jobArrived(job.spec(), job.version() > termVersion, loop.now());
+      arrivals.recordJob(job.spec(), job.version() > termVersion, loop.now());
       onChange.run();
     }
   }
--- a/src/main/java/org/saffronshore/cluster/MachineTasks.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTasks.java
@@ -61,7 +61,7 @@
    * Returns whether the machine has an attempt at the task, or an exited one that its worker still
    * reports, so that the task may not be placed on it.
    */
-  boolean hasTraceOf(TaskId task) {
+  boolean hasRecordOf(TaskId task) {
     return attempts.containsKey(task) || exited.containsKey(task);
   }
 
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -10,16 +10,19 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * What the jobs of each class look like and how often they arrive, as far as this term has seen.
- * All times are seconds of the event loop's clock.
+ * Statistics on the size and the arrival rate of the jobs of each class, collected since the start
+ * of the leader's term. All times are in seconds on the event loop's clock.
  */
 public final class ArrivalStatistics {
   private static final double EPSILON = 1e-6;
 
-  /** A class counts as ended when no job of it has arrived for this many of its usual gaps. */
-  private static final double MAX_GAPS = 3;
+  /**
+   * A class is no longer expected when none of its jobs has arrived for this many times its mean
+   * gap.
+   */
+  private static final double MAX_GAPS_SINCE_LAST_ARRIVAL = 3;
 
-  /** The jobs of one class. */
+  /** Statistics on the jobs of one class. */
   private static final class JobClass {
     JobSpec latest;
     int jobs;
@@ -27,7 +30,7 @@
     final double firstAt;
     double lastAt;
 
-    /** Arrivals within the last two windows, the oldest first. */
+    /** Arrivals within the last two windows, oldest first. */
     final ArrayDeque<Arrival> recent = new ArrayDeque<>();
 
     JobClass(JobSpec first, double now) {
@@ -45,7 +48,7 @@
       }
     }
 
-    void forgetBefore(double time) {
+    void removeArrivalsBefore(double time) {
       while (!recent.isEmpty() && recent.peekFirst().at < time) {
         recent.removeFirst();
       }
@@ -65,8 +68,8 @@
   /**
    * A typical job of a class.
    *
-   * @param task what each of its tasks needs
-   * @param tasks how many tasks it has on average
+   * @param task the latest job of the class, which specifies what each task requires
+   * @param tasks the mean number of tasks
    */
   public record ExpectedJob(JobSpec task, double tasks) {}
 
@@ -76,33 +79,34 @@
   /**
    * Creates empty statistics.
    *
-   * @param windowS jobs have to arrive for twice this time before more of their class are expected
+   * @param windowS the length of a window in seconds; tasks of a class are expected only after its
+   *     jobs have arrived in two consecutive windows
    */
   public ArrivalStatistics(double windowS) {
     this.windowS = windowS;
   }
 
   /**
-   * Counts an open job.
+   * Records an open job.
    *
-   * @param arrivedNow whether the job was submitted just now, and not found waiting when the term
-   *     began
+   * @param arrivedNow whether the job has just been submitted, rather than found waiting at the
+   *     start of the term
    */
-  public void jobArrived(JobSpec job, boolean arrivedNow, double now) {
+  public void recordJob(JobSpec job, boolean arrivedNow, double now) {
     classes
         .computeIfAbsent(job.jobClass(), name -> new JobClass(job, now))
         .add(job, arrivedNow, now);
   }
 
   /**
-   * The tasks of each class that will arrive within a time if they arrive as they did recently. The
-   * smaller count of the last two windows is used, so that a burst of jobs does not count as a
-   * steady stream.
+   * Returns the tasks of each class that are expected to arrive within a time at their recent
+   * arrival rate. The rate is taken from the smaller of the counts in the last two windows, so that
+   * a single burst of jobs is not taken for a steady stream.
    */
   public List<SchedulingPlan.UnplacedTasks> expectedTasks(double withinS, double now) {
     List<SchedulingPlan.UnplacedTasks> expected = new ArrayList<>();
     for (JobClass jobClass : classes.values()) {
-      jobClass.forgetBefore(now - 2 * windowS);
+      jobClass.removeArrivalsBefore(now - 2 * windowS);
       int inLastWindow = 0;
       int inWindowBefore = 0;
       for (Arrival arrival : jobClass.recent) {
@@ -121,22 +125,23 @@
   }
 
   /**
-   * A typical job of every class that still arrives: whose last job is not several of its usual
-   * gaps ago.
+   * Returns a typical job of every class whose jobs still arrive, that is, whose last job did not
+   * arrive several mean gaps ago.
    *
-   * @param minGapS shorter gaps count as this long
+   * @param minGapS the lower bound for the mean gap, in seconds
    */
   public List<ExpectedJob> expectedJobs(double now, double minGapS) {
     List<ExpectedJob> expected = new ArrayList<>();
     for (JobClass jobClass : classes.values()) {
-      if (now - jobClass.lastAt < MAX_GAPS * Math.max(minGapS, jobClass.meanGapS())) {
+      if (now - jobClass.lastAt
+          < MAX_GAPS_SINCE_LAST_ARRIVAL * Math.max(minGapS, jobClass.meanGapS())) {
         expected.add(new ExpectedJob(jobClass.latest, jobClass.meanTasks()));
       }
     }
     return expected;
   }
 
-  /** How many tasks like this one fit into what is free. */
+  /** Returns how many tasks of a job fit into an amount of free resources. */
   public static double fittingTasks(Resources free, JobSpec task) {
     double tasks = JobSpec.MAX_TASKS;
     if (task.cpus() > 0) {
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -102,7 +102,7 @@
     cluster.heartbeatReceived(heartbeat("host-1", 1, 50, TERM, exited));
     assertTrue(hasPlaceableJob(), "the attempt has exited");
     assertFalse(actions(cluster.responseCommands(machine)).contains(Command.Action.REAP));
-    assertTrue(machine.tasks().hasTraceOf(TASK), "the task must be placed on another machine");
+    assertTrue(machine.tasks().hasRecordOf(TASK), "the task must be placed on another machine");
   }
 
   /** The first task of an overdue job is not preempted for a job of higher priority. */
--- a/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
+++ b/src/test/java/org/saffronshore/fleet/ArrivalStatisticsTest.java
@@ -12,10 +12,10 @@
 
 class ArrivalStatisticsTest {
   @Test
-  void jobOfAClassIsExpectedUntilItsUsualGapIsLongExceeded() {
+  void jobClassIsExpectedUntilItsMeanGapIsExceededSeveralTimes() {
     ArrivalStatistics arrivals = new ArrivalStatistics(20);
     for (int i = 0; i < 4; i++) {
-      arrivals.jobArrived(
+      arrivals.recordJob(
           TestData.job("wk-" + i, "red", Priority.URGENT, 2 + 2 * (i % 2), 4), true, i * 10);
     }
     assertEquals(3, arrivals.expectedJobs(35, 1).get(0).tasks());
@@ -23,8 +23,11 @@
   }
 
   /**
-   * 4 tasks every second for a time, submitted then or found waiting when the term began, and how
-   * long ago that ended; then how many are expected within 10 s.
+   * Jobs of 4 tasks arrive every second for some time, either newly submitted or found waiting at
+   * the start of the term.
+   *
+   * @param endedAgoS how long ago the arrivals ended
+   * @param expected the number of tasks that are expected to arrive within 10 s
    */
   @ParameterizedTest
   @CsvSource({
@@ -34,11 +37,11 @@
     "false, 60, 0, 0",
     "true, 5, 0, 0"
   })
-  void tasksAreExpectedAtTheRateOfTheLastTwoWindows(
+  void tasksAreExpectedAtLowerRateOfLastTwoWindows(
       boolean arrivedNow, int seconds, double endedAgoS, int expected) {
     ArrivalStatistics arrivals = new ArrivalStatistics(20);
     for (int i = 0; i < seconds; i++) {
-      arrivals.jobArrived(TestData.job("wk-" + i, "red", Priority.URGENT, 4, 4), arrivedNow, i);
+      arrivals.recordJob(TestData.job("wk-" + i, "red", Priority.URGENT, 4, 4), arrivedNow, i);
     }
     int expectedTasks =
         arrivals.expectedTasks(10, seconds + endedAgoS).stream()
--- a/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
+++ b/src/test/java/org/saffronshore/fleet/DisplacedTasksTest.java
@@ -12,8 +12,12 @@
 
 class DisplacedTasksTest {
   /**
-   * Four tasks of 4 CPUs run on machines of each type. CPUs and number of the waiting tasks, and
-   * the scarce type; then how many of the running tasks are displaced.
+   * Four tasks of 4 CPUs run on machines of each type.
+   *
+   * @param waitingCpus the CPUs of each waiting task
+   * @param waiting the number of waiting tasks
+   * @param scarce the scarce type
+   * @param displaced the number of running tasks that are displaced
    */
   @ParameterizedTest
   @CsvSource({
@@ -23,7 +27,7 @@
     "8, 1, '', 0",
     "17, 1, large, 0"
   })
-  void tasksOnAScarceTypeAreDisplacedAsFarAsWaitingTasksNeedIt(
+  void tasksOnScarceTypeAreDisplacedUpToCpusNeededByWaitingTasks(
       double waitingCpus, int waiting, String scarce, int displaced) {
     var displacedTasks =
         DisplacedTasks.find(
--- a/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
+++ b/src/test/java/org/saffronshore/fleet/ScaleOutPlanTest.java
@@ -14,7 +14,10 @@
 import org.saffronshore.wire.MachineKind;
 
 class ScaleOutPlanTest {
-  /** Tasks, CPUs of each, spot, zone, kind that the cloud lacks; then what is ordered. */
+  /**
+   * The number of tasks, the CPUs of each, whether they allow spot machines, their zone, the kind
+   * of machine that the cloud has none of, and the expected orders.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -29,7 +32,7 @@
         "1 | 8 | true  |   | spot large in a | 1 on-demand large in a",
         "1 | 17 | true |  |  | nothing"
       })
-  void cheapestMachinesThatTheJobAllowsAreOrdered(
+  void cheapestMachinesAllowedByJobAreOrdered(
       int tasks, double cpus, boolean spot, String zone, String unavailable, String expected) {
     var orders =
         ScaleOutPlan.orders(
@@ -45,7 +48,7 @@
   }
 
   @Test
-  void zoneWithTheFewestMachinesIsChosen() {
+  void zoneWithFewestMachinesIsChosen() {
     var orders =
         ScaleOutPlan.orders(
             TYPES,
--- a/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
+++ b/src/test/java/org/saffronshore/scheduling/OverdueJobTest.java
@@ -11,9 +11,13 @@
 class OverdueJobTest extends SchedulingTestBase {
 
   /**
-   * A large standard job that has waited for very long beside a queue of urgent ones, a machine of
-   * 8 CPUs on which some are free: what the cycle places. It gets one task, or else the room is
-   * kept until it is large enough.
+   * Tasks of 8 CPUs of a standard job wait beside urgent tasks of 4 CPUs for one machine. Without
+   * the rule for overdue jobs, the urgent tasks would use all released CPUs and the standard job
+   * would never start. If the job is overdue, one of its tasks is placed first, or, while it does
+   * not fit, the machine is reserved for it.
+   *
+   * @param freeCpus the free CPUs of the machine, which has 8 or, if more are free, that many
+   * @param placed the priorities of the placed tasks, in order
    */
   @ParameterizedTest
   @CsvSource({
@@ -23,16 +27,16 @@
     "true, 4, ''",
     "true, 16, standard urgent urgent"
   })
-  void overdueJobGetsOneTaskBeforeUrgentOnesOrReservesTheMachine(
+  void overdueJobPlacesOneTaskBeforeUrgentJobsOrReservesTheMachine(
       boolean overdue, double freeCpus, String placed) {
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
     MachineView machine = addMachine("one", Math.max(8, freeCpus));
     if (freeCpus < 8) {
-      running(machine, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - freeCpus), 0, 1);
+      addRunningTasks(machine, TestData.job("wk-9", "H", Priority.URGENT, 1, 8 - freeCpus), 0, 1);
     }
-    PendingJob standard = waiting(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
-    waiting(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
+    PendingJob standard = addWaitingJob(TestData.job("wk-1", "F", Priority.STANDARD, 20, 8), 1);
+    addWaitingJob(TestData.job("wk-2", "H", Priority.URGENT, 2, 4), 2);
     if (overdue) {
       standard.markOverdue();
     }
--- a/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
+++ b/src/test/java/org/saffronshore/scheduling/PreemptionTest.java
@@ -10,10 +10,13 @@
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Priority;
 
-/** Which running tasks are preempted or evicted for others. */
+/** Tests which running tasks are preempted or evicted for others. */
 class PreemptionTest extends SchedulingTestBase {
 
-  /** What runs on the only machine, what waits, and whether the one may be preempted. */
+  /**
+   * The task that runs on the only machine, the task that waits, and whether the running task may
+   * be preempted. Team G has a guarantee; the other teams have none.
+   */
   @ParameterizedTest
   @CsvSource({
     "F, STANDARD, H, URGENT, true",
@@ -25,7 +28,7 @@
     "G, STANDARD, G, URGENT, true",
     "F, STANDARD, F, STANDARD, false"
   })
-  void runningTaskIsPreemptedOnlyForHigherPriorityOrAnotherTeamsGuarantee(
+  void runningTaskIsPreemptedOnlyForHigherPriorityOrGuaranteeOfAnotherTeam(
       String runningTeam,
       Priority runningPriority,
       String waitingTeam,
@@ -34,12 +37,13 @@
     addTeam("G", 8, 0);
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
-    running(addMachine("one", 8), TestData.job("wk-1", runningTeam, runningPriority, 1, 8), 0, 1);
-    waiting(TestData.job("wk-2", waitingTeam, waitingPriority, 1, 8), 2);
+    addRunningTasks(
+        addMachine("one", 8), TestData.job("wk-1", runningTeam, runningPriority, 1, 8), 0, 1);
+    addWaitingJob(TestData.job("wk-2", waitingTeam, waitingPriority, 1, 8), 2);
     for (double evictionProbability : new double[] {0, 1}) {
       SchedulingPlan plan = run(evictionProbability);
       assertEquals(preempted, !plan.preemptions().isEmpty());
-      assertEquals(0, plan.placements().size(), "nothing starts before the room is free");
+      assertEquals(0, plan.placements().size(), "no task starts before the resources are free");
       if (preempted) {
         return;
       }
@@ -47,23 +51,25 @@
   }
 
   /**
-   * An evicted task is on its machine until it has been stopped: its team's waiting urgent task
-   * must not start elsewhere on the strength of an eviction that is only in memory.
+   * Guards against a team that exceeds its limit. An evicted task remains on its machine until it
+   * has stopped. If an eviction, which is only in memory, reduced the usage of the team, its
+   * waiting urgent task would be started on another machine in addition.
    */
   @Test
-  void evictedTaskCountsAgainstItsTeamsLimit() {
+  void evictedTaskCountsAgainstTeamLimit() {
     addTeam("F", 0, 16);
     addTeam("G", 8, 0);
-    running(addMachine("one", 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
+    addRunningTasks(
+        addMachine("one", 16), TestData.job("wk-1", "F", Priority.STANDARD, 2, 8), 0, 2);
     addMachine("two", 8);
-    waiting(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
-    waiting(JobBuilder.job("wk-3", "G", Priority.STANDARD).cpus(8).zone("b").build(), 2);
+    addWaitingJob(TestData.job("wk-2", "F", Priority.URGENT, 1, 8), 1);
+    addWaitingJob(JobBuilder.job("wk-3", "G", Priority.STANDARD).cpus(8).zone("b").build(), 2);
     assertEquals(List.of(), run(1).placements());
   }
 
-  /** The texts stand in log lines. */
+  /** The texts appear in log lines and must not change. */
   @Test
-  void reasonReadsAsTheTextForTheLog() {
+  void preemptionReasonIsFormattedForLogLines() {
     assertEquals(
         List.of("another team's guarantee", "the guarantee of G", "higher priority of wk-1"),
         List.of(
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleEquivalenceTest.java
@@ -11,35 +11,38 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** What makes the cycle fast must not change what it decides. */
+/**
+ * Guards against optimizations that change the result of the scheduling cycle: for random clusters,
+ * its plan must equal the plan of {@link ReferenceCycle}.
+ */
 class SchedulingCycleEquivalenceTest extends SchedulingTestBase {
   private static final int ROUNDS = 40;
   private static final int MACHINES = 12;
   private static final int TASKS_PER_MACHINE = 4;
   private static final int WAITING_JOBS = 12;
 
-  /** The number of the first waiting job; running jobs have smaller ones. */
-  private static final int FIRST_WAITING = 100;
+  /** The number in the id of the first waiting job; running jobs have smaller numbers. */
+  private static final int FIRST_WAITING_JOB = 100;
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-  void planEqualsThatOfTheReferenceCycleOnRandomViews(int seed) {
+  void planEqualsPlanOfReferenceCycleForRandomClusters(int seed) {
     for (int round = 0; round < ROUNDS; round++) {
       Random random = new Random(seed * 1000 + round);
       boolean evict = random.nextBoolean();
       SchedulingSettings settings = new SchedulingSettings(5, evict ? 0.5 : 0, 1, 0);
-      long viewSeed = random.nextLong();
-      setUpView(new Random(viewSeed));
+      long clusterSeed = random.nextLong();
+      setUpCluster(new Random(clusterSeed));
       SchedulingPlan expected =
           ReferenceCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
-      setUpView(new Random(viewSeed));
+      setUpCluster(new Random(clusterSeed));
       SchedulingPlan actual =
           SchedulingCycle.run(machines, jobs, teams, settings, evict, new Random(round), NOW);
       assertEquals(expected, actual);
     }
   }
 
-  private void setUpView(Random random) {
+  private void setUpCluster(Random random) {
     machines.clear();
     jobs.clear();
     teams.clear();
@@ -53,11 +56,11 @@
               random.nextBoolean() ? "a" : "b",
               random.nextBoolean(),
               random.nextBoolean() ? 4 : 16,
-              new TaskId("wk-" + (FIRST_WAITING + random.nextInt(WAITING_JOBS)), 0));
+              new TaskId("wk-" + (FIRST_WAITING_JOB + random.nextInt(WAITING_JOBS)), 0));
       addRunningTasks(machine, i * TASKS_PER_MACHINE, random);
     }
     for (int i = 0; i < WAITING_JOBS; i++) {
-      waiting(randomJob("wk-" + (FIRST_WAITING + i), random), i);
+      addWaitingJob(randomJob("wk-" + (FIRST_WAITING_JOB + i), random), i);
     }
   }
 
@@ -75,7 +78,10 @@
     }
   }
 
-  /** The order of the calls decides which views there are. */
+  /**
+   * Creates a random job. The order of the calls to {@code random} determines the clusters under
+   * test.
+   */
   private static JobSpec randomJob(String id, Random random) {
     String team = List.of("F", "G", "H").get(random.nextInt(3));
     Priority priority = List.of(Priority.STANDARD, Priority.URGENT).get(random.nextInt(2));
--- a/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
+++ b/src/test/java/org/saffronshore/scheduling/SchedulingCycleTest.java
@@ -11,17 +11,17 @@
 class SchedulingCycleTest extends SchedulingTestBase {
 
   /**
-   * The paper's example: 40 tasks of A on two machines of 32 cores, then 50 of B; each gets 32, and
-   * 8 are stopped.
+   * The example from "Armada Scheduler": two machines with 32 cores each run 40 tasks of team A
+   * when 50 tasks of team B arrive. Each team gets 32 cores, so that 8 tasks of A are preempted.
    */
   @Test
-  void teamsWithEqualGuaranteesShareTwoMachinesAsInThePaper() {
+  void teamsWithEqualGuaranteesShareTwoMachinesAsInArmadaDesign() {
     addTeam("A", 32, 0);
     addTeam("B", 32, 0);
     JobSpec jobOfA = TestData.job("wk-1", "A", Priority.STANDARD, 40, 1);
-    running(addMachine("one", 32), jobOfA, 0, 32);
-    running(addMachine("two", 32), jobOfA, 32, 40);
-    waiting(TestData.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
+    addRunningTasks(addMachine("one", 32), jobOfA, 0, 32);
+    addRunningTasks(addMachine("two", 32), jobOfA, 32, 40);
+    addWaitingJob(TestData.job("wk-2", "B", Priority.STANDARD, 50, 1), 2);
     SchedulingPlan plan = run(1);
     assertEquals(24, Collections.frequency(placedJobs(plan), "wk-2"));
     assertEquals(8, plan.preemptions().size());
--- a/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
+++ b/src/test/java/org/saffronshore/scheduling/TeamOrderTest.java
@@ -12,10 +12,13 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Whose waiting tasks are placed first. */
+/** Tests in which order the waiting tasks of teams are placed. */
 class TeamOrderTest extends SchedulingTestBase {
 
-  /** Team G has a guarantee; team F uses 4 CPUs already; the machine has room for one task. */
+  /**
+   * Team G has a guarantee and team F already uses 4 CPUs. The machine has enough CPUs for one
+   * task.
+   */
   @ParameterizedTest
   @CsvSource({
     "G, STANDARD, 1, F, URGENT, 2, wk-1",
@@ -26,7 +29,7 @@
     "F, STANDARD, 2, F, STANDARD, 1, wk-2",
     "F, STANDARD, 1, U, STANDARD, 2, wk-2"
   })
-  void guaranteeGoesBeforePriorityThenSmallerShareThenEarlierSubmission(
+  void tasksAreOrderedByGuaranteeThenPriorityThenShareThenSubmission(
       String team1,
       Priority priority1,
       long order1,
@@ -41,28 +44,29 @@
     team("F")
         .addLaunched(TestData.job("wk-9", "F", Priority.IDLE, 1, 4), SchedulingSettings.DEFAULTS);
     addMachine("one", 8);
-    waiting(TestData.job("wk-1", team1, priority1, 1, 8), order1);
-    waiting(TestData.job("wk-2", team2, priority2, 1, 8), order2);
+    addWaitingJob(TestData.job("wk-1", team1, priority1, 1, 8), order1);
+    addWaitingJob(TestData.job("wk-2", team2, priority2, 1, 8), order2);
     SchedulingPlan plan = run(0);
     assertEquals(List.of(placedFirst), placedJobs(plan));
     assertTrue(plan.preemptions().isEmpty());
   }
 
   /**
-   * The task of higher priority gets the room that is only being freed, in the same cycle. Placed
-   * first, the one of lower priority would be started, and preempted in the next cycle.
+   * Guards against starting a task of lower priority that the next cycle would preempt. The
+   * resources of a stopping task are assigned to the waiting task of higher priority in the same
+   * cycle, although they are not free yet and the task of lower priority was submitted first.
    */
   @Test
-  void lowerPriorityIsNeitherPlacedNorPreemptedWhereAHigherOneWaitsForTheRoom() {
+  void lowerPriorityTaskIsNotPlacedWhileHigherPriorityTaskWaitsForReleasedResources() {
     addTeam("F", 0, 0);
     addTeam("H", 0, 0);
     MachineView machine = addMachine("one", 8);
     JobSpec stoppingJob = TestData.job("wk-1", "F", Priority.STANDARD, 1, 8);
     machine.add(new PlacedTask(new TaskId("wk-1", 0), stoppingJob, true, NOW));
-    waiting(TestData.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
+    addWaitingJob(TestData.job("wk-3", "F", Priority.STANDARD, 1, 8), 1);
     team("H")
         .addLaunched(TestData.job("wk-8", "H", Priority.URGENT, 1, 4), SchedulingSettings.DEFAULTS);
-    waiting(TestData.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
+    addWaitingJob(TestData.job("wk-2", "H", Priority.URGENT, 1, 8), 2);
     SchedulingPlan plan = run(0);
     assertTrue(plan.placements().isEmpty() && plan.preemptions().isEmpty());
     assertEquals(List.of("wk-3"), plan.unplaced().stream().map(tasks -> tasks.job().id()).toList());
