--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -50,11 +50,11 @@
   }
 
   private boolean isReady() {
-    return machineTypesKnown.getAsBoolean() && (stateService.isAvailable() || !othersServeBetter());
+    return machineTypesKnown.getAsBoolean() && (stateService.isAvailable() || !isPeerPreferable());
   }
 
   /** Whether a peer may have the state service, or nothing at all is reached from here. */
-  private boolean othersServeBetter() {
+  private boolean isPeerPreferable() {
     return peers.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
         || peers.isCutOff(maxPeerSilenceS);
   }
--- a/src/main/java/org/saffronshore/api/RedirectTracker.java
+++ b/src/main/java/org/saffronshore/api/RedirectTracker.java
@@ -22,7 +22,7 @@
   /** A worker whose heartbeats are relayed sends the next one after one interval. */
   private static final double RELAYED_RETURN_INTERVALS = 2;
 
-  private record Redirect(String leader, double at, boolean relayed) {}
+  private record Redirect(String leader, double redirectedAt, boolean relayed) {}
 
   private final EventLoop loop;
   private final double heartbeatIntervalS;
@@ -33,7 +33,8 @@
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Redirect> eldest) {
           // Entries are in the order of their times: what is too old to matter is at the front.
-          return loop.now() > eldest.getValue().at + MAX_AGE_INTERVALS * heartbeatIntervalS;
+          return loop.now()
+              > eldest.getValue().redirectedAt + MAX_AGE_INTERVALS * heartbeatIntervalS;
         }
       };
 
@@ -49,7 +50,7 @@
   boolean shouldRelay(String worker, String leader) {
     Redirect latest = latestByWorker.remove(worker);
     double now = loop.now();
-    boolean relay = latest != null && isBack(latest, leader, now);
+    boolean relay = latest != null && hasReturnedFrom(latest, leader, now);
     latestByWorker.put(worker, new Redirect(leader, now, relay));
     return relay;
   }
@@ -58,9 +59,10 @@
    * Whether the worker is back from the leader. Where its heartbeats are relayed it is redirected
    * again now and then, since the leader may be within its reach by now.
    */
-  private boolean isBack(Redirect latest, String leader, double now) {
+  private boolean hasReturnedFrom(Redirect latest, String leader, double now) {
     double withinIntervals = latest.relayed ? RELAYED_RETURN_INTERVALS : RETURN_INTERVALS;
-    return latest.leader.equals(leader) && now - latest.at < withinIntervals * heartbeatIntervalS;
+    return latest.leader.equals(leader)
+        && now - latest.redirectedAt < withinIntervals * heartbeatIntervalS;
   }
 
   /** Its heartbeat was relayed: the next one is, too, if it arrives in time. */
--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -24,15 +24,15 @@
   private static final String CANCEL_SUFFIX = "/cancel";
 
   private final AdmissionQueue admission;
-  private final UserApi users;
-  private final WorkerApi workers;
+  private final UserApi userApi;
+  private final WorkerApi workerApi;
   private final HealthCheck health;
 
   /**
    * @param maxSockets the sockets that this process may use
    */
   public RequestRouter(
-      EventLoop loop, int maxSockets, UserApi users, WorkerApi workers, HealthCheck health) {
+      EventLoop loop, int maxSockets, UserApi userApi, WorkerApi workerApi, HealthCheck health) {
     int queued = Math.max(MIN_QUEUED, (int) (maxSockets * QUEUED_SHARE));
     this.admission =
         new AdmissionQueue(
@@ -41,8 +41,8 @@
                 RequestClass.HEARTBEAT, maxSockets,
                 RequestClass.DECISION, queued,
                 RequestClass.SUBMISSION, queued));
-    this.users = users;
-    this.workers = workers;
+    this.userApi = userApi;
+    this.workerApi = workerApi;
     this.health = health;
   }
 
@@ -55,7 +55,7 @@
           RequestClass.HEARTBEAT,
           request,
           responder,
-          () -> workers.handleHeartbeat(request, responder));
+          () -> workerApi.handleHeartbeat(request, responder));
     } else if (path.equals(HEALTH_PATH)) {
       health.handle(request, responder);
     } else if (path.equals(JOBS_PATH)) {
@@ -64,7 +64,7 @@
           RequestClass.SUBMISSION,
           request,
           responder,
-          () -> users.submit(request, responder));
+          () -> userApi.submit(request, responder));
     } else if (path.startsWith(JOB_PREFIX)) {
       handleJob(path.substring(JOB_PREFIX.length()), request, responder);
     } else {
@@ -76,11 +76,12 @@
   private void handleJob(String rest, Request request, Responder responder) {
     if (rest.endsWith(CANCEL_SUFFIX)) {
       String job = rest.substring(0, rest.length() - CANCEL_SUFFIX.length());
-      admit("POST", RequestClass.DECISION, request, responder, () -> users.cancel(job, responder));
+      admit(
+          "POST", RequestClass.DECISION, request, responder, () -> userApi.cancel(job, responder));
     } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
       respondNotFound(responder);
     } else {
-      admit("GET", RequestClass.DECISION, request, responder, () -> users.poll(rest, responder));
+      admit("GET", RequestClass.DECISION, request, responder, () -> userApi.poll(rest, responder));
     }
   }
 
@@ -105,7 +106,7 @@
           }
         };
     if (!admission.offer(requestClass, unlessDisconnected)) {
-      users.respondBusy(responder);
+      userApi.respondBusy(responder);
     }
   }
 }
--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -42,7 +42,7 @@
   private static final int RETRY_AFTER_S = 1;
 
   /** What a stored job takes beside what its user sent. */
-  private static final int RECORD_BYTES = 128;
+  private static final int RECORD_OVERHEAD_BYTES = 128;
 
   private final EventLoop loop;
   private final Settings settings;
@@ -79,16 +79,16 @@
     try {
       job = parse(submission);
     } catch (InvalidFieldException e) {
-      rejectUnlessKnown(submission.id(), BAD_REQUEST, e.getMessage(), responder);
+      rejectUnlessAccepted(submission.id(), BAD_REQUEST, e.getMessage(), responder);
       return;
     }
     if (machineTypes.get().isEmpty()) {
-      rejectUnlessKnown(job.id(), UNAVAILABLE, "the machine types are not known yet", responder);
+      rejectUnlessAccepted(job.id(), UNAVAILABLE, "the machine types are not known yet", responder);
       return;
     }
-    Optional<String> impossibility = findImpossibility(job);
-    if (impossibility.isPresent()) {
-      rejectUnlessKnown(job.id(), UNPROCESSABLE, impossibility.get(), responder);
+    Optional<String> unschedulableReason = findUnschedulableReason(job);
+    if (unschedulableReason.isPresent()) {
+      rejectUnlessAccepted(job.id(), UNPROCESSABLE, unschedulableReason.get(), responder);
       return;
     }
     store.submit(
@@ -101,7 +101,7 @@
     JobSpec job = submission.job();
     // The state service would refuse the whole transaction, and with it the submissions that share
     // it.
-    if (job.encodedLength() > settings.maxValueKb() * 1024 - RECORD_BYTES) {
+    if (job.encodedLength() > settings.maxValueKb() * 1024 - RECORD_OVERHEAD_BYTES) {
       throw new InvalidFieldException("body", "is longer than what can be kept of a job");
     }
     return job;
@@ -120,11 +120,12 @@
               // A dependency may be cancelled already: then so is this job, and it must not be
               // called anything else.
               () -> store.lookUp(job, status -> respond(job, status, CREATED, responder));
-          case DUPLICATE -> () -> store.lookUp(job, status -> respondKnown(job, status, responder));
+          case DUPLICATE ->
+              () -> store.lookUp(job, status -> respondDuplicate(job, status, responder));
           case OVERLOADED -> () -> respondBusy(responder);
           case UNKNOWN_DEPENDENCY ->
               () ->
-                  rejectUnlessKnown(
+                  rejectUnlessAccepted(
                       job,
                       UNPROCESSABLE,
                       JobSpec.DEPENDENCIES_FIELD + ": names a job that was never accepted",
@@ -135,7 +136,7 @@
   }
 
   /** Responds with the status of a job that was accepted before. */
-  private void respondKnown(String job, JobStatus status, Responder responder) {
+  private void respondDuplicate(String job, JobStatus status, Responder responder) {
     if (status == JobStatus.NOT_FOUND) {
       respondUnavailable(responder);
     } else {
@@ -144,7 +145,7 @@
   }
 
   /** Why a job can never run; empty when it can. */
-  private Optional<String> findImpossibility(JobSpec job) {
+  private Optional<String> findUnschedulableReason(JobSpec job) {
     TeamQuota team = settings.teams().get(job.team());
     if (team == null) {
       return Optional.of(JobSpec.TEAM_FIELD + ": there is no such team");
@@ -163,7 +164,7 @@
    * Rejects a submission with that status. But a job that was accepted once stays accepted,
    * whatever a later copy of its submission looks like.
    */
-  private void rejectUnlessKnown(
+  private void rejectUnlessAccepted(
       @Nullable String job, int rejection, String problem, Responder responder) {
     if (job == null || !JobSpec.isValidId(job)) {
       responder.error(rejection, problem);
--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -85,10 +85,10 @@
         COMMAND_PATH,
         new CommandMessage(term.number(), batch.commands()).toDirectCommand(batch.epoch()),
         batch.commands().isEmpty() ? probeTimeoutS : commandTimeoutS,
-        response -> completed(batch, response));
+        response -> handleResponse(batch, response));
   }
 
-  private void completed(CommandBatch batch, Response response) {
+  private void handleResponse(CommandBatch batch, Response response) {
     inFlight--;
     CommandResponse result = parse(batch, response);
     if (term.hasEnded()) {
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -65,9 +65,9 @@
   private final PeerVotingClient peerVoting;
   private final PeerHeartbeats peerHeartbeats;
   private final PeerRequestHandler peerRequests;
-  private final MachineTypeCache types;
+  private final MachineTypeCache machineTypeCache;
   private final RequestRouter router;
-  private final AdminApi admin;
+  private final AdminApi adminApi;
   private final EventLoopDelayProbe delayProbe;
   private @Nullable Leader leader;
 
@@ -88,7 +88,7 @@
         new PeerMessageFactory(settings.node(), this::incarnation, stateMonitor);
     this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peers);
     this.leadership = new Leadership(loop, state, settings, random, this, peerVoting);
-    this.types =
+    this.machineTypeCache =
         new MachineTypeCache(loop, settings, cloud, state, leadership, this::machineTypesChanged);
     WorkerApi workers = buildWorkerApi(peerClient);
     PeerLeadership peerLeadership = new PeerLeadershipAdapter(leadership);
@@ -114,7 +114,7 @@
             this::knownCancellations,
             workers::handleRelayedHeartbeat);
     this.router = buildRouter(workers);
-    this.admin = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
+    this.adminApi = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
     this.quotaMetrics = new QuotaMetrics(metrics, settings.teams().keySet());
     this.delayProbe = new EventLoopDelayProbe(loop, metrics, settings.heartbeatIntervalS() / 10);
     registerGauges();
@@ -133,10 +133,10 @@
 
   private RequestRouter buildRouter(WorkerApi workers) {
     UserApi users =
-        new UserApi(loop, settings, store, metrics, types::machineTypes, this::progress);
+        new UserApi(loop, settings, store, metrics, machineTypeCache::machineTypes, this::progress);
     HealthCheck health =
         new HealthCheck(
-            () -> !types.machineTypes().isEmpty(),
+            () -> !machineTypeCache.machineTypes().isEmpty(),
             stateMonitor,
             peers,
             settings.heartbeatIntervalS());
@@ -177,7 +177,7 @@
   public void start() {
     leadership.start();
     peerHeartbeats.start();
-    types.start();
+    machineTypeCache.start();
     stateMonitor.start();
     delayProbe.start();
   }
@@ -202,7 +202,7 @@
 
   /** Handles a request on the peers' address: of another controller or of an operator. */
   public void handlePeer(Request request, Responder responder) {
-    if (!peerRequests.handle(request, responder) && !admin.handle(request, responder)) {
+    if (!peerRequests.handle(request, responder) && !adminApi.handle(request, responder)) {
       responder.error(404, "no such path");
     }
   }
@@ -234,9 +234,9 @@
                 quotaMetrics),
             term,
             keyVersion);
-    leader.cluster().machineTypes(types.machineTypes());
+    leader.cluster().machineTypes(machineTypeCache.machineTypes());
     leader.start();
-    types.persist();
+    machineTypeCache.persist();
   }
 
   @Override
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -29,10 +29,10 @@
   private final LeaderTerm term;
   private final OperatorSettingsReader operatorSettings;
   private final Failover failover;
-  private final LeadershipMonitor monitor;
-  private final CommandSender commands;
-  private final HeartbeatService heartbeats;
-  private final SchedulingLoop scheduling;
+  private final LeadershipMonitor leadershipMonitor;
+  private final CommandSender commandSender;
+  private final HeartbeatService heartbeatService;
+  private final SchedulingLoop schedulingLoop;
   private final Autoscaler autoscaler;
 
   /**
@@ -49,12 +49,13 @@
         new LeaderTerm(
             services.loop(), settings, services.leadership(), number, cluster::onProcessPause);
     this.operatorSettings = new OperatorSettingsReader(services.state(), settings.teams().keySet());
-    this.commands = new CommandSender(settings, services.client(), term, cluster, this::runDueWork);
-    this.heartbeats = new HeartbeatService(term, cluster, this::runDueWork);
+    this.commandSender =
+        new CommandSender(settings, services.client(), term, cluster, this::runDueWork);
+    this.heartbeatService = new HeartbeatService(term, cluster, this::runDueWork);
     this.autoscaler =
         new Autoscaler(
             services.loop(), settings, services.cloud(), services.metrics(), term, cluster);
-    this.scheduling =
+    this.schedulingLoop =
         new SchedulingLoop(
             services.loop(),
             settings,
@@ -74,8 +75,8 @@
             term,
             cluster,
             this::runDueWork,
-            scheduling::requestCycle);
-    this.monitor =
+            schedulingLoop::requestCycle);
+    this.leadershipMonitor =
         new LeadershipMonitor(
             services.loop(),
             settings,
@@ -101,11 +102,11 @@
   /** Starts to recover the stored state, and all loops of the term. */
   void start() {
     failover.start();
-    monitor.start();
+    leadershipMonitor.start();
     term.repeatWhileActive(settings.heartbeatIntervalS() / 12, this::maintainCluster);
     term.repeatWhileActive(settings.heartbeatIntervalS() / 3, failover::saveFinishedTasks);
     term.repeatWhileActive(settings.heartbeatIntervalS(), operatorSettings::read);
-    scheduling.start();
+    schedulingLoop.start();
     operatorSettings.read();
     autoscaler.start();
   }
@@ -118,7 +119,7 @@
 
   /** See {@link HeartbeatService#handle}. */
   byte @Nullable [] handleHeartbeat(Heartbeat heartbeat) {
-    return heartbeats.handle(heartbeat);
+    return heartbeatService.handle(heartbeat);
   }
 
   /** See {@link Failover#jobCancelled}. */
@@ -160,15 +161,15 @@
       return;
     }
     failover.saveDueRecords();
-    commands.sendDue();
+    commandSender.sendDue();
     if (cluster.consumeChanged()) {
-      scheduling.requestCycle();
+      schedulingLoop.requestCycle();
     }
   }
 
   /** Does what only the passing of time makes due. */
   private void maintainCluster() {
-    if (monitor.yieldIfIsolated()) {
+    if (leadershipMonitor.yieldIfIsolated()) {
       return;
     }
     cluster.expireLeases();
@@ -184,7 +185,7 @@
   /** What a cycle has placed and stopped is sent; what found no room is for the autoscaler. */
   private void cycleCompleted(SchedulingPlan plan) {
     failover.saveLaunchWatermarks();
-    commands.sendDue();
+    commandSender.sendDue();
     autoscaler.tasksUnplaced(plan.unplaced());
   }
 }
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -22,7 +22,7 @@
   private final double maxCancellationsAgeS;
   private final double startedAt;
   private double lastWithoutStoreLeaseAt = Double.NEGATIVE_INFINITY;
-  private double aloneWithoutStateServiceSince = Double.POSITIVE_INFINITY;
+  private double onlyPeersServedSince = Double.POSITIVE_INFINITY;
 
   /**
    * Creates the monitor of a term that begins now.
@@ -66,7 +66,7 @@
     if (loop.now()
         > Math.max(readableSince, cancellationsReadAt.getAsDouble()) + maxCancellationsAgeS) {
       term.stepDown("cancellations cannot be read");
-    } else if (isAloneWithoutStateService()) {
+    } else if (isStoreLeaseLostOnlyHere()) {
       term.stepDown("the state service serves its peers, and not it");
     } else {
       start();
@@ -79,13 +79,13 @@
    * after an outage some are served a moment before the leader is, so this must last for several of
    * its tries.
    */
-  private boolean isAloneWithoutStateService() {
+  private boolean isStoreLeaseLostOnlyHere() {
     double now = loop.now();
-    aloneWithoutStateServiceSince =
+    onlyPeersServedSince =
         peers.stateServiceServedAnyPeerSince(state.lastResponseAt())
-            ? Math.min(aloneWithoutStateServiceSince, now)
+            ? Math.min(onlyPeersServedSince, now)
             : Double.POSITIVE_INFINITY;
-    return !term.holdsStoreLease() && now > aloneWithoutStateServiceSince + heartbeatIntervalS / 4;
+    return !term.holdsStoreLease() && now > onlyPeersServedSince + heartbeatIntervalS / 4;
   }
 
   /**
--- a/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
+++ b/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
@@ -7,12 +7,12 @@
 
 /** Relays heartbeats of workers that cannot reach the leader. */
 public final class HeartbeatRelay {
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final double timeoutS;
 
   /** Gives the leader less time than a worker waits. */
-  public HeartbeatRelay(PeerClient peers, Settings settings) {
-    this.peers = peers;
+  public HeartbeatRelay(PeerClient peerClient, Settings settings) {
+    this.peerClient = peerClient;
     this.timeoutS = settings.heartbeatIntervalS() * 2 / 3;
   }
 
@@ -24,9 +24,9 @@
    *     when the leader is not among the peers
    */
   public void relay(String leaderNode, byte[] heartbeat, Consumer<Optional<byte[]>> receiver) {
-    for (Peer peer : peers.peers()) {
+    for (Peer peer : peerClient.peers()) {
       if (peer.node().equals(leaderNode)) {
-        peers.post(
+        peerClient.post(
             peer,
             PeerProtocol.RELAY_PATH,
             heartbeat,
--- a/src/main/java/org/saffronshore/peer/JobProgressCache.java
+++ b/src/main/java/org/saffronshore/peer/JobProgressCache.java
@@ -8,7 +8,7 @@
   private Map<String, JobProgress> jobs = Map.of();
 
   /** Records what a message of a leader holds, unless one of a later term arrived before. */
-  void record(PeerMessage message) {
+  void update(PeerMessage message) {
     if (message.jobProgress() != null && message.term() >= term) {
       term = message.term();
       jobs = message.jobProgress();
--- a/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
+++ b/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
@@ -28,13 +28,13 @@
   }
 
   private final EventLoop loop;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final PeerMessageFactory messages;
   private final PeerReachability reachability;
   private final JobProgressCache jobProgress;
   private final PeerLeadership leadership;
   private final Supplier<Optional<TermProgress>> leaderProgress;
-  private final CancellationListener cancellations;
+  private final CancellationListener cancellationListener;
   private final double intervalS;
 
   /**
@@ -44,21 +44,21 @@
   public PeerHeartbeats(
       EventLoop loop,
       Settings settings,
-      PeerClient peers,
+      PeerClient peerClient,
       PeerMessageFactory messages,
       PeerReachability reachability,
       JobProgressCache jobProgress,
       PeerLeadership leadership,
       Supplier<Optional<TermProgress>> leaderProgress,
-      CancellationListener cancellations) {
+      CancellationListener cancellationListener) {
     this.loop = loop;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.messages = messages;
     this.reachability = reachability;
     this.jobProgress = jobProgress;
     this.leadership = leadership;
     this.leaderProgress = leaderProgress;
-    this.cancellations = cancellations;
+    this.cancellationListener = cancellationListener;
     this.intervalS = PeerProtocol.heartbeatIntervalS(settings);
   }
 
@@ -73,27 +73,27 @@
     byte[] body = heartbeat.toCbor();
     double sentAt = loop.now();
     long term = leadership.term();
-    for (Peer peer : peers.peers()) {
-      peers.send(
+    for (Peer peer : peerClient.peers()) {
+      peerClient.send(
           peer,
           PeerProtocol.HEARTBEAT_PATH,
           body,
           intervalS * 2,
-          response -> response.ifPresent(present -> receive(peer, present, sentAt, term)));
+          response -> response.ifPresent(present -> handleResponse(peer, present, sentAt, term)));
     }
   }
 
-  private void receive(Peer peer, PeerResponse response, double sentAt, long term) {
+  private void handleResponse(Peer peer, PeerResponse response, double sentAt, long term) {
     reachability.recordResponse(peer);
     reachability.recordStateServiceAvailability(response.sender());
-    jobProgress.record(response.sender());
+    jobProgress.update(response.sender());
     if (response.leaseGranted() && term == leadership.term()) {
       leadership.recordGrant(peer.node(), sentAt);
     }
     PeerResponse.Cancellations known = response.cancellations();
     if (known != null) {
       double coveredSince = loop.now() - Settings.minLocalDuration(known.completeForS());
-      cancellations.onCancellations(term, peer.node(), sentAt, coveredSince, known.jobs());
+      cancellationListener.onCancellations(term, peer.node(), sentAt, coveredSince, known.jobs());
     }
   }
 }
--- a/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
+++ b/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
@@ -19,15 +19,15 @@
   private final JobProgressCache jobProgress;
   private final PeerLeadership leadership;
   private final StateServiceMonitor stateService;
-  private final Supplier<PeerResponse.Cancellations> cancellations;
-  private final BiConsumer<Request, Responder> relayedHeartbeats;
-  private final OutdatedMessageDetector outdated;
+  private final Supplier<PeerResponse.Cancellations> knownCancellations;
+  private final BiConsumer<Request, Responder> relayedHeartbeatHandler;
+  private final OutdatedMessageDetector outdatedMessages;
 
   /**
-   * @param cancellations what this process knows of cancellations. A leader may be refused by the
-   *     state service while this controller is not: so it stops the tasks at once, and, as far back
-   *     as nothing is missing, may renew the leases of others in an outage
-   * @param relayedHeartbeats handles heartbeats of workers that a peer relays
+   * @param knownCancellations what this process knows of cancellations. A leader may be refused by
+   *     the state service while this controller is not: so it stops the tasks at once, and, as far
+   *     back as nothing is missing, may renew the leases of others in an outage
+   * @param relayedHeartbeatHandler handles heartbeats of workers that a peer relays
    */
   public PeerRequestHandler(
       Settings settings,
@@ -36,22 +36,22 @@
       JobProgressCache jobProgress,
       PeerLeadership leadership,
       StateServiceMonitor stateService,
-      Supplier<PeerResponse.Cancellations> cancellations,
-      BiConsumer<Request, Responder> relayedHeartbeats) {
+      Supplier<PeerResponse.Cancellations> knownCancellations,
+      BiConsumer<Request, Responder> relayedHeartbeatHandler) {
     this.messages = messages;
     this.reachability = reachability;
     this.jobProgress = jobProgress;
     this.leadership = leadership;
     this.stateService = stateService;
-    this.cancellations = cancellations;
-    this.relayedHeartbeats = relayedHeartbeats;
-    this.outdated = new OutdatedMessageDetector(settings.controllerCount());
+    this.knownCancellations = knownCancellations;
+    this.relayedHeartbeatHandler = relayedHeartbeatHandler;
+    this.outdatedMessages = new OutdatedMessageDetector(settings.controllerCount());
   }
 
   /** Handles a request of a peer; false when the path is none of the protocol's. */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
-      case PeerProtocol.RELAY_PATH -> relayedHeartbeats.accept(request, responder);
+      case PeerProtocol.RELAY_PATH -> relayedHeartbeatHandler.accept(request, responder);
       case PeerProtocol.HEARTBEAT_PATH, PeerProtocol.VOTE_PATH, PeerProtocol.WITHDRAWAL_PATH ->
           handleMessage(request, responder);
       default -> {
@@ -77,12 +77,12 @@
 
   private PeerResponse respond(String path, PeerMessage message) {
     PeerMessage self = messages.create();
-    if (outdated.isOutdated(message)) {
+    if (outdatedMessages.isOutdated(message)) {
       return new PeerResponse(self, false, null);
     }
     return switch (path) {
       case PeerProtocol.WITHDRAWAL_PATH -> respondToWithdrawal(message, self);
-      case PeerProtocol.VOTE_PATH -> new PeerResponse(self, grantsLease(message, true), null);
+      case PeerProtocol.VOTE_PATH -> new PeerResponse(self, tryGrantLease(message, true), null);
       default -> respondToHeartbeat(message, self);
     };
   }
@@ -94,13 +94,13 @@
 
   private PeerResponse respondToHeartbeat(PeerMessage message, PeerMessage self) {
     reachability.recordStateServiceAvailability(message);
-    jobProgress.record(message);
-    boolean granted = grantsLease(message, false);
+    jobProgress.update(message);
+    boolean granted = tryGrantLease(message, false);
     boolean fromLeader = message.term() != PeerMessage.NO_TERM;
-    return new PeerResponse(self, granted, fromLeader ? cancellations.get() : null);
+    return new PeerResponse(self, granted, fromLeader ? knownCancellations.get() : null);
   }
 
-  private boolean grantsLease(PeerMessage message, boolean candidate) {
+  private boolean tryGrantLease(PeerMessage message, boolean candidate) {
     return message.term() != PeerMessage.NO_TERM
         && leadership.grantLease(
             message.senderNode(),
--- a/src/main/java/org/saffronshore/peer/PeerVotingClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerVotingClient.java
@@ -13,7 +13,7 @@
 
 /** Requests votes of the peers for a candidate, and tells them when it withdraws. */
 public final class PeerVotingClient implements PeerVoting {
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final PeerMessageFactory messages;
   private final PeerReachability reachability;
   private final double voteTimeoutS;
@@ -22,10 +22,10 @@
   /** Votes are worth something only while the candidate's time for a campaign lasts. */
   public PeerVotingClient(
       Settings settings,
-      PeerClient peers,
+      PeerClient peerClient,
       PeerMessageFactory messages,
       PeerReachability reachability) {
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.messages = messages;
     this.reachability = reachability;
     this.voteTimeoutS = PeerProtocol.heartbeatIntervalS(settings) / 2;
@@ -33,26 +33,27 @@
   }
 
   @Override
-  public void requestVotes(long term, Predicate<List<Vote>> enough, Consumer<List<Vote>> receiver) {
-    VoteCount count = new VoteCount(enough, receiver);
+  public void requestVotes(
+      long term, Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotesReceived) {
+    VoteCount count = new VoteCount(isDecided, onVotesReceived);
     byte[] body = messages.forCandidate(term).toCbor();
-    for (Peer peer : peers.peers()) {
-      peers.send(
+    for (Peer peer : peerClient.peers()) {
+      peerClient.send(
           peer,
           PeerProtocol.VOTE_PATH,
           body,
           voteTimeoutS,
           response -> {
-            response.flatMap(present -> vote(peer, present)).ifPresent(count.votes::add);
-            count.missing.remove(peer);
-            count.endIfDecided();
+            response.flatMap(present -> toVote(peer, present)).ifPresent(count.votes::add);
+            count.awaitedPeers.remove(peer);
+            count.completeIfDecided();
           });
     }
-    count.endIfDecided();
+    count.completeIfDecided();
   }
 
   /** The vote in a response; empty when the response does not say which process it is from. */
-  private Optional<Vote> vote(Peer peer, PeerResponse response) {
+  private Optional<Vote> toVote(Peer peer, PeerResponse response) {
     String incarnation = response.sender().incarnation();
     if (incarnation == null) {
       return Optional.empty();
@@ -64,35 +65,35 @@
   @Override
   public void sendWithdrawal(long term) {
     byte[] body = messages.forCandidate(term).toCbor();
-    for (Peer peer : peers.peers()) {
-      peers.post(peer, PeerProtocol.WITHDRAWAL_PATH, body, withdrawalTimeoutS, response -> {});
+    for (Peer peer : peerClient.peers()) {
+      peerClient.post(peer, PeerProtocol.WITHDRAWAL_PATH, body, withdrawalTimeoutS, response -> {});
     }
   }
 
   /** The votes of one campaign, which are handed on once. */
   private final class VoteCount {
-    private final Predicate<List<Vote>> enough;
-    private final Consumer<List<Vote>> receiver;
+    private final Predicate<List<Vote>> isDecided;
+    private final Consumer<List<Vote>> onVotesReceived;
     private final List<Vote> votes = new ArrayList<>();
 
     /**
      * Those whose vote is waited for. Peers that have been unreachable for a while are requested
      * too, but the leases of the others are not held for them.
      */
-    private final Set<Peer> missing = new HashSet<>(peers.peers());
+    private final Set<Peer> awaitedPeers = new HashSet<>(peerClient.peers());
 
-    private boolean ended;
+    private boolean completed;
 
-    VoteCount(Predicate<List<Vote>> enough, Consumer<List<Vote>> receiver) {
-      this.enough = enough;
-      this.receiver = receiver;
-      missing.removeIf(peer -> !reachability.isResponseExpected(peer));
+    VoteCount(Predicate<List<Vote>> isDecided, Consumer<List<Vote>> onVotesReceived) {
+      this.isDecided = isDecided;
+      this.onVotesReceived = onVotesReceived;
+      awaitedPeers.removeIf(peer -> !reachability.isResponseExpected(peer));
     }
 
-    private void endIfDecided() {
-      if (!ended && (missing.isEmpty() || enough.test(votes))) {
-        ended = true;
-        receiver.accept(votes);
+    private void completeIfDecided() {
+      if (!completed && (awaitedPeers.isEmpty() || isDecided.test(votes))) {
+        completed = true;
+        onVotesReceived.accept(votes);
       }
     }
   }
