--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -22,7 +22,7 @@
 
   private final BooleanSupplier machineTypesKnown;
   private final StateServiceMonitor stateService;
-  private final PeerReachability peers;
+  private final PeerReachability peerReachability;
   private final double maxPeerSilenceS;
 
   /**
@@ -36,11 +36,11 @@
   public HealthCheck(
       BooleanSupplier machineTypesKnown,
       StateServiceMonitor stateService,
-      PeerReachability peers,
+      PeerReachability peerReachability,
       double maxPeerSilenceS) {
     this.machineTypesKnown = machineTypesKnown;
     this.stateService = stateService;
-    this.peers = peers;
+    this.peerReachability = peerReachability;
     this.maxPeerSilenceS = maxPeerSilenceS;
   }
 
@@ -63,7 +63,7 @@
    * clearly later than to this controller, or this controller is cut off from all peers.
    */
   private boolean isPeerPreferable() {
-    return peers.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
-        || peers.isCutOff(maxPeerSilenceS);
+    return peerReachability.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
+        || peerReachability.isCutOff(maxPeerSilenceS);
   }
 }
--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -16,9 +16,9 @@
    * The capacity of the queue of each class of user requests, as a fraction of the number of
    * sockets. Requests beyond it are refused with 429.
    */
-  private static final double QUEUED_SHARE = 1.0 / 8;
+  private static final double QUEUE_CAPACITY_FRACTION = 1.0 / 8;
 
-  private static final int MIN_QUEUED = 8;
+  private static final int MIN_QUEUE_CAPACITY = 8;
 
   private static final String HEARTBEAT_PATH = "/v1/report";
   private static final String HEALTH_PATH = "/healthz";
@@ -38,7 +38,7 @@
    */
   public RequestRouter(
       EventLoop loop, int maxSockets, UserApi userApi, WorkerApi workerApi, HealthCheck health) {
-    int queued = Math.max(MIN_QUEUED, (int) (maxSockets * QUEUED_SHARE));
+    int queued = Math.max(MIN_QUEUE_CAPACITY, (int) (maxSockets * QUEUE_CAPACITY_FRACTION));
     this.admission =
         new AdmissionQueue(
             loop,
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -60,11 +60,11 @@
   private final JobStore store;
   private final CloudClient cloud;
   private final Leadership leadership;
-  private final PeerReachability peers;
+  private final PeerReachability peerReachability;
   private final JobProgressCache jobProgress = new JobProgressCache();
   private final PeerVotingClient peerVoting;
   private final PeerHeartbeats peerHeartbeats;
-  private final PeerRequestHandler peerRequests;
+  private final PeerRequestHandler peerRequestHandler;
   private final MachineTypeCache machineTypeCache;
   private final RequestRouter router;
   private final AdminApi adminApi;
@@ -82,11 +82,11 @@
     this.store = new JobStore(loop, state, settings);
     store.onCancelled(this::jobCancelled);
     this.cloud = new CloudClient(loop, client, settings);
-    this.peers = new PeerReachability(loop, settings);
+    this.peerReachability = new PeerReachability(loop, settings);
     PeerClient peerClient = new PeerClient(client, settings);
     PeerMessageFactory messages =
         new PeerMessageFactory(settings.node(), this::incarnation, stateMonitor);
-    this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peers);
+    this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peerReachability);
     this.leadership = new Leadership(loop, state, settings, random, this, peerVoting);
     this.machineTypeCache =
         new MachineTypeCache(loop, settings, cloud, state, leadership, this::machineTypesChanged);
@@ -98,16 +98,16 @@
             settings,
             peerClient,
             messages,
-            peers,
+            peerReachability,
             jobProgress,
             peerLeadership,
             this::leaderProgress,
             this::peerReportedCancellations);
-    this.peerRequests =
+    this.peerRequestHandler =
         new PeerRequestHandler(
             settings,
             messages,
-            peers,
+            peerReachability,
             jobProgress,
             peerLeadership,
             stateMonitor,
@@ -138,7 +138,7 @@
         new HealthCheck(
             () -> !machineTypeCache.machineTypes().isEmpty(),
             stateMonitor,
-            peers,
+            peerReachability,
             settings.heartbeatIntervalS());
     return new RequestRouter(loop, settings.maxSockets(), users, workers, health);
   }
@@ -206,7 +206,7 @@
 
   /** Handles a request of a peer or an operator. */
   public void handlePeer(Request request, Responder responder) {
-    if (!peerRequests.handle(request, responder) && !adminApi.handle(request, responder)) {
+    if (!peerRequestHandler.handle(request, responder) && !adminApi.handle(request, responder)) {
       responder.error(404, "no such path: " + request.path());
     }
   }
@@ -233,7 +233,7 @@
                 store,
                 cloud,
                 leadership,
-                peers,
+                peerReachability,
                 metrics,
                 quotaMetrics),
             term,
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -81,7 +81,7 @@
             services.loop(),
             settings,
             services.state(),
-            services.peers(),
+            services.peerReachability(),
             term,
             cluster,
             failover::cancellationsReadAt);
--- a/src/main/java/org/saffronshore/control/LeaderServices.java
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -23,6 +23,6 @@
     JobStore store,
     CloudClient cloud,
     Leadership leadership,
-    PeerReachability peers,
+    PeerReachability peerReachability,
     Metrics metrics,
     QuotaMetrics quotaMetrics) {}
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -14,7 +14,7 @@
 final class LeadershipMonitor {
   private final EventLoop loop;
   private final StateClient state;
-  private final PeerReachability peers;
+  private final PeerReachability peerReachability;
   private final LeaderTerm term;
   private final Cluster cluster;
   private final DoubleSupplier cancellationsReadAt;
@@ -34,13 +34,13 @@
       EventLoop loop,
       Settings settings,
       StateClient state,
-      PeerReachability peers,
+      PeerReachability peerReachability,
       LeaderTerm term,
       Cluster cluster,
       DoubleSupplier cancellationsReadAt) {
     this.loop = loop;
     this.state = state;
-    this.peers = peers;
+    this.peerReachability = peerReachability;
     this.term = term;
     this.cluster = cluster;
     this.cancellationsReadAt = cancellationsReadAt;
@@ -84,7 +84,7 @@
   private boolean isStoreLeaseLostOnlyHere() {
     double now = loop.now();
     onlyPeersServedSince =
-        peers.stateServiceServedAnyPeerSince(state.lastResponseAt())
+        peerReachability.stateServiceServedAnyPeerSince(state.lastResponseAt())
             ? Math.min(onlyPeersServedSince, now)
             : Double.POSITIVE_INFINITY;
     return !term.holdsStoreLease() && now > onlyPeersServedSince + heartbeatIntervalS / 4;
@@ -97,7 +97,8 @@
    */
   boolean yieldIfIsolated() {
     boolean isolated =
-        peers.isIsolated(heartbeatIntervalS) && cluster.isMostlySilent(2 * heartbeatIntervalS);
+        peerReachability.isIsolated(heartbeatIntervalS)
+            && cluster.isMostlySilent(2 * heartbeatIntervalS);
     if (isolated) {
       term.yieldLeadership("no responses from peers and no heartbeats from most machines");
     }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -29,7 +29,7 @@
    * The maximum fraction of time for the cycles that follow changes. The remaining time is for
    * heartbeats.
    */
-  private static final double MAX_CYCLE_SHARE = 0.15;
+  private static final double MAX_CYCLE_FRACTION = 0.15;
 
   private final EventLoop loop;
   private final RandomGenerator random;
@@ -97,7 +97,7 @@
     if (!cycleRequested) {
       cycleRequested = true;
       loop.schedule(
-          Math.max(minRequestDelayS, lastCycleS / MAX_CYCLE_SHARE),
+          Math.max(minRequestDelayS, lastCycleS / MAX_CYCLE_FRACTION),
           () -> {
             cycleRequested = false;
             runCycle(false);
