--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -8,40 +8,45 @@
 import org.saffronshore.wire.HealthResponse;
 
 /**
- * Tells load balancers whether users should be sent to this controller.
+ * Tells load balancers whether to send users to this controller.
  *
- * <p>A controller that alone is refused by the state service, or that reaches neither that nor any
- * peer, sends its users to the others. When the state service is unavailable to all, all stay: to
- * turn every user away at once, and to let them back in slowly, would only make an outage longer.
- * An outage reaches the controllers within moments of one another, so that a peer had a response a
- * little later than this controller says nothing.
+ * <p>This controller reports that it is not ready if the state service responds to peers but not to
+ * it, or if it reaches neither the state service nor any peer. If the state service is unavailable
+ * to all controllers, all remain ready: to turn away all users at once, and to readmit them slowly,
+ * would only prolong the outage. An outage does not reach all controllers at the same instant, so a
+ * response to a peer that is only a little later than the last one to this controller does not
+ * count.
  */
 public final class HealthCheck {
   private static final int RETRY_AFTER_S = 1;
 
   private final BooleanSupplier machineTypesKnown;
   private final StateServiceMonitor stateService;
-  private final PeerReachability peers;
+  private final PeerReachability peerReachability;
   private final double maxPeerSilenceS;
 
   /**
-   * @param machineTypesKnown whether submissions can be validated at all
-   * @param maxPeerSilenceS without a message of any peer for so long this controller is cut off
+   * Creates the health check of a controller.
+   *
+   * @param machineTypesKnown whether the machine types are known, without which no submission can
+   *     be validated
+   * @param maxPeerSilenceS the time without a response or message of any peer, in seconds, after
+   *     which this controller counts as cut off
    */
   public HealthCheck(
       BooleanSupplier machineTypesKnown,
       StateServiceMonitor stateService,
-      PeerReachability peers,
+      PeerReachability peerReachability,
       double maxPeerSilenceS) {
     this.machineTypesKnown = machineTypesKnown;
     this.stateService = stateService;
-    this.peers = peers;
+    this.peerReachability = peerReachability;
     this.maxPeerSilenceS = maxPeerSilenceS;
   }
 
   void handle(Request request, Responder responder) {
     if (!request.hasMethod("GET")) {
-      responder.error(405, "GET only");
+      RequestRouter.respondMethodNotAllowed(request, "GET", responder);
     } else if (isReady()) {
       responder.json(200, new HealthResponse().toJson());
     } else {
@@ -50,12 +55,15 @@
   }
 
   private boolean isReady() {
-    return machineTypesKnown.getAsBoolean() && (stateService.isAvailable() || !othersServeBetter());
+    return machineTypesKnown.getAsBoolean() && (stateService.isAvailable() || !isPeerPreferable());
   }
 
-  /** Whether a peer may have the state service, or nothing at all is reached from here. */
-  private boolean othersServeBetter() {
-    return peers.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
-        || peers.isCutOff(maxPeerSilenceS);
+  /**
+   * Returns whether users are better served by a peer: the state service last responded to a peer
+   * clearly later than to this controller, or this controller is cut off from all peers.
+   */
+  private boolean isPeerPreferable() {
+    return peerReachability.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
+        || peerReachability.isCutOff(maxPeerSilenceS);
   }
 }
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -44,9 +44,9 @@
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.MachineType;
 
-/** One controller process: builds its parts, connects them and starts them. */
+/** One controller process: creates its components, wires them and starts them. */
 public final class Controller implements Leadership.Listener {
-  /** However few sockets there are, each address accepts so many connections. */
+  /** The minimum number of connections that each address accepts, even if there are few sockets. */
   private static final int MIN_CONNECTIONS = 8;
 
   private final EventLoop loop;
@@ -60,18 +60,18 @@
   private final JobStore store;
   private final CloudClient cloud;
   private final Leadership leadership;
-  private final PeerReachability peers;
+  private final PeerReachability peerReachability;
   private final JobProgressCache jobProgress = new JobProgressCache();
   private final PeerVotingClient peerVoting;
   private final PeerHeartbeats peerHeartbeats;
-  private final PeerRequestHandler peerRequests;
-  private final MachineTypeCache types;
+  private final PeerRequestHandler peerRequestHandler;
+  private final MachineTypeCache machineTypeCache;
   private final RequestRouter router;
-  private final AdminApi admin;
+  private final AdminApi adminApi;
   private final EventLoopDelayProbe delayProbe;
   private @Nullable Leader leader;
 
-  /** Builds a controller; nothing runs before {@link #start}. */
+  /** Creates a controller; nothing runs before {@link #start}. */
   public Controller(EventLoop loop, Settings settings, Client client, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
@@ -82,13 +82,13 @@
     this.store = new JobStore(loop, state, settings);
     store.onCancelled(this::jobCancelled);
     this.cloud = new CloudClient(loop, client, settings);
-    this.peers = new PeerReachability(loop, settings);
+    this.peerReachability = new PeerReachability(loop, settings);
     PeerClient peerClient = new PeerClient(client, settings);
     PeerMessageFactory messages =
         new PeerMessageFactory(settings.node(), this::incarnation, stateMonitor);
-    this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peers);
+    this.peerVoting = new PeerVotingClient(settings, peerClient, messages, peerReachability);
     this.leadership = new Leadership(loop, state, settings, random, this, peerVoting);
-    this.types =
+    this.machineTypeCache =
         new MachineTypeCache(loop, settings, cloud, state, leadership, this::machineTypesChanged);
     WorkerApi workers = buildWorkerApi(peerClient);
     PeerLeadership peerLeadership = new PeerLeadershipAdapter(leadership);
@@ -98,23 +98,23 @@
             settings,
             peerClient,
             messages,
-            peers,
+            peerReachability,
             jobProgress,
             peerLeadership,
             this::leaderProgress,
             this::peerReportedCancellations);
-    this.peerRequests =
+    this.peerRequestHandler =
         new PeerRequestHandler(
             settings,
             messages,
-            peers,
+            peerReachability,
             jobProgress,
             peerLeadership,
             stateMonitor,
             this::knownCancellations,
             workers::handleRelayedHeartbeat);
     this.router = buildRouter(workers);
-    this.admin = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
+    this.adminApi = new AdminApi(state, metrics, settings.teams().keySet(), this::status);
     this.quotaMetrics = new QuotaMetrics(metrics, settings.teams().keySet());
     this.delayProbe = new EventLoopDelayProbe(loop, metrics, settings.heartbeatIntervalS() / 10);
     registerGauges();
@@ -133,12 +133,12 @@
 
   private RequestRouter buildRouter(WorkerApi workers) {
     UserApi users =
-        new UserApi(loop, settings, store, metrics, types::machineTypes, this::progress);
+        new UserApi(loop, settings, store, metrics, machineTypeCache::machineTypes, this::progress);
     HealthCheck health =
         new HealthCheck(
-            () -> !types.machineTypes().isEmpty(),
+            () -> !machineTypeCache.machineTypes().isEmpty(),
             stateMonitor,
-            peers,
+            peerReachability,
             settings.heartbeatIntervalS());
     return new RequestRouter(loop, settings.maxSockets(), users, workers, health);
   }
@@ -153,7 +153,7 @@
         () -> leader == null ? 0 : leader.cluster().dependencies().waitingJobCount());
   }
 
-  // Parts that tests look at
+  // Components that tests access
 
   PeerVoting peerVoting() {
     return peerVoting;
@@ -172,17 +172,21 @@
   }
 
   /**
-   * Starts everything but the servers; what is needed from outside is fetched in the background.
+   * Starts all components except the servers. Data from other services is fetched in the
+   * background.
    */
   public void start() {
     leadership.start();
     peerHeartbeats.start();
-    types.start();
+    machineTypeCache.start();
     stateMonitor.start();
     delayProbe.start();
   }
 
-  /** Opens both addresses. Users and workers share one, peers and operators the other. */
+  /**
+   * Starts the servers on both addresses: one is for users, workers and load balancers, the other
+   * for peers and operators.
+   */
   public void serve(IoEventLoopGroup group) throws InterruptedException {
     int sockets = settings.maxSockets();
     new HttpServer(this::handle, connectionLimit(sockets * 3 / 4))
@@ -195,21 +199,21 @@
     return new ConnectionLimit(Math.max(MIN_CONNECTIONS, connections));
   }
 
-  /** Handles a request of a user, a worker or a health check. */
+  /** Handles a request of a user, a worker or a load balancer. */
   public void handle(Request request, Responder responder) {
     router.handle(request, responder);
   }
 
-  /** Handles a request on the peers' address: of another controller or of an operator. */
+  /** Handles a request of a peer or an operator. */
   public void handlePeer(Request request, Responder responder) {
-    if (!peerRequests.handle(request, responder) && !admin.handle(request, responder)) {
-      responder.error(404, "no such path");
+    if (!peerRequestHandler.handle(request, responder) && !adminApi.handle(request, responder)) {
+      responder.error(404, "no such path: " + request.path());
     }
   }
 
-  // The leader of this process
+  // Leading
 
-  /** The leader of this process while it may act, or null. */
+  /** Returns the leader of this process, or null unless it may act at this moment. */
   @Nullable Leader activeLeader() {
     return leader != null && leader.term().isActive() ? leader : null;
   }
@@ -229,18 +233,18 @@
                 store,
                 cloud,
                 leadership,
-                peers,
+                peerReachability,
                 metrics,
                 quotaMetrics),
             term,
             keyVersion);
-    leader.cluster().machineTypes(types.machineTypes());
+    leader.cluster().machineTypes(machineTypeCache.machineTypes());
     leader.start();
-    types.persist();
+    machineTypeCache.persist();
   }
 
   @Override
-  public void onSteppedDown(String why) {
+  public void onSteppedDown(String reason) {
     state.setLeading(false);
     if (leader != null) {
       leader.end();
@@ -268,11 +272,11 @@
     }
   }
 
-  /** Hands on what a peer knows of cancellations, if the term still lasts. */
+  /** Passes a peer's report of cancellations to the leader, if it still leads the same term. */
   private void peerReportedCancellations(
-      long term, String peer, double requestedAt, double coveredSince, List<String> jobs) {
+      long term, String peer, double requestedAt, double completeSince, List<String> jobs) {
     if (leader != null && leadership.term() == term) {
-      leader.peerReportedCancellations(peer, requestedAt, coveredSince, jobs);
+      leader.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
     }
   }
 
--- a/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
+++ b/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
@@ -8,61 +8,67 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Sends heartbeats to the peers. Those of a leader hold the progress of its jobs, and ask for the
- * peers' leases and for what they know of cancellations.
+ * Sends heartbeats to the peers periodically. The heartbeats of a leader contain the progress of
+ * its jobs, and request the peers' leases and the cancellations that the peers know of.
  */
 public final class PeerHeartbeats {
 
-  /** Receives what peers know of cancellations. */
+  /** Receives the cancellations that peers know of. */
   @FunctionalInterface
   public interface CancellationListener {
     /**
-     * A peer has responded to a heartbeat.
+     * Called when a peer has reported cancellations in its response to a heartbeat.
      *
-     * @param term the term that this controller led when it sent the heartbeat
-     * @param requestedAt when it sent the heartbeat
-     * @param coveredSince since when no cancellation that the peer learned of is missing
+     * @param term the latest term that this controller had led when it sent the heartbeat
+     * @param peer the peer's node name
+     * @param requestedAt when this controller sent the heartbeat, in seconds on the event loop's
+     *     clock
+     * @param completeSince the time since which no cancellation that the peer learned of is missing
+     *     in the report, in seconds on the event loop's clock
+     * @param jobs the ids of the cancelled jobs
      */
     void onCancellations(
-        long term, String peer, double requestedAt, double coveredSince, List<String> jobs);
+        long term, String peer, double requestedAt, double completeSince, List<String> jobs);
   }
 
   private final EventLoop loop;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final PeerMessageFactory messages;
   private final PeerReachability reachability;
   private final JobProgressCache jobProgress;
   private final PeerLeadership leadership;
   private final Supplier<Optional<TermProgress>> leaderProgress;
-  private final CancellationListener cancellations;
+  private final CancellationListener cancellationListener;
   private final double intervalS;
 
   /**
-   * @param leaderProgress the term and progress of this leader; empty while this controller may not
-   *     act as one
+   * Creates the heartbeats of this controller; nothing is sent before {@link #start}.
+   *
+   * @param leaderProgress supplies the term that this controller leads and the progress of its
+   *     jobs; empty while it may not act as leader
    */
   public PeerHeartbeats(
       EventLoop loop,
       Settings settings,
-      PeerClient peers,
+      PeerClient peerClient,
       PeerMessageFactory messages,
       PeerReachability reachability,
       JobProgressCache jobProgress,
       PeerLeadership leadership,
       Supplier<Optional<TermProgress>> leaderProgress,
-      CancellationListener cancellations) {
+      CancellationListener cancellationListener) {
     this.loop = loop;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.messages = messages;
     this.reachability = reachability;
     this.jobProgress = jobProgress;
     this.leadership = leadership;
     this.leaderProgress = leaderProgress;
-    this.cancellations = cancellations;
+    this.cancellationListener = cancellationListener;
     this.intervalS = PeerProtocol.heartbeatIntervalS(settings);
   }
 
-  /** Begins to send. */
+  /** Starts sending heartbeats. */
   public void start() {
     loop.scheduleWithFixedDelay(intervalS, this::sendToAll);
   }
@@ -73,27 +79,27 @@
     byte[] body = heartbeat.toCbor();
     double sentAt = loop.now();
     long term = leadership.term();
-    for (Peer peer : peers.peers()) {
-      peers.send(
+    for (Peer peer : peerClient.peers()) {
+      peerClient.send(
           peer,
           PeerProtocol.HEARTBEAT_PATH,
           body,
           intervalS * 2,
-          response -> response.ifPresent(present -> receive(peer, present, sentAt, term)));
+          response -> response.ifPresent(present -> handleResponse(peer, present, sentAt, term)));
     }
   }
 
-  private void receive(Peer peer, PeerResponse response, double sentAt, long term) {
+  private void handleResponse(Peer peer, PeerResponse response, double sentAt, long term) {
     reachability.recordResponse(peer);
     reachability.recordStateServiceAvailability(response.sender());
-    jobProgress.record(response.sender());
+    jobProgress.update(response.sender());
     if (response.leaseGranted() && term == leadership.term()) {
       leadership.recordGrant(peer.node(), sentAt);
     }
     PeerResponse.Cancellations known = response.cancellations();
     if (known != null) {
-      double coveredSince = loop.now() - Settings.minLocalDuration(known.completeForS());
-      cancellations.onCancellations(term, peer.node(), sentAt, coveredSince, known.jobs());
+      double completeSince = loop.now() - Settings.minLocalDuration(known.completeForS());
+      cancellationListener.onCancellations(term, peer.node(), sentAt, completeSince, known.jobs());
     }
   }
 }
--- a/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
+++ b/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Handles what other controllers send. */
+/** Handles the messages of other controllers and the heartbeats of workers that they relay. */
 public final class PeerRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerRequestHandler.class);
 
@@ -19,15 +19,18 @@
   private final JobProgressCache jobProgress;
   private final PeerLeadership leadership;
   private final StateServiceMonitor stateService;
-  private final Supplier<PeerResponse.Cancellations> cancellations;
-  private final BiConsumer<Request, Responder> relayedHeartbeats;
-  private final OutdatedMessageDetector outdated;
+  private final Supplier<PeerResponse.Cancellations> knownCancellations;
+  private final BiConsumer<Request, Responder> relayedHeartbeatHandler;
+  private final OutdatedMessageDetector outdatedMessages;
 
   /**
-   * @param cancellations what this process knows of cancellations. A leader may be refused by the
-   *     state service while this controller is not: so it stops the tasks at once, and, as far back
-   *     as nothing is missing, may renew the leases of others in an outage
-   * @param relayedHeartbeats handles heartbeats of workers that a peer relays
+   * Creates the handler of this process.
+   *
+   * @param knownCancellations supplies the cancellations that this process knows of. The state
+   *     service may refuse the leader but serve this controller. With this list, the leader stops
+   *     the tasks of cancelled jobs at once, and may renew the leases of other tasks in an outage
+   *     as long as no cancellation is missing
+   * @param relayedHeartbeatHandler handles the heartbeats of workers that peers relay
    */
   public PeerRequestHandler(
       Settings settings,
@@ -36,22 +39,27 @@
       JobProgressCache jobProgress,
       PeerLeadership leadership,
       StateServiceMonitor stateService,
-      Supplier<PeerResponse.Cancellations> cancellations,
-      BiConsumer<Request, Responder> relayedHeartbeats) {
+      Supplier<PeerResponse.Cancellations> knownCancellations,
+      BiConsumer<Request, Responder> relayedHeartbeatHandler) {
     this.messages = messages;
     this.reachability = reachability;
     this.jobProgress = jobProgress;
     this.leadership = leadership;
     this.stateService = stateService;
-    this.cancellations = cancellations;
-    this.relayedHeartbeats = relayedHeartbeats;
-    this.outdated = new OutdatedMessageDetector(settings.controllerCount());
+    this.knownCancellations = knownCancellations;
+    this.relayedHeartbeatHandler = relayedHeartbeatHandler;
+    this.outdatedMessages = new OutdatedMessageDetector(settings.controllerCount());
   }
 
-  /** Handles a request of a peer; false when the path is none of the protocol's. */
+  /**
+   * Handles a request of a peer.
+   *
+   * @return false if the path is not one of the protocol between controllers; the request is then
+   *     not handled
+   */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
-      case PeerProtocol.RELAY_PATH -> relayedHeartbeats.accept(request, responder);
+      case PeerProtocol.RELAY_PATH -> relayedHeartbeatHandler.accept(request, responder);
       case PeerProtocol.HEARTBEAT_PATH, PeerProtocol.VOTE_PATH, PeerProtocol.WITHDRAWAL_PATH ->
           handleMessage(request, responder);
       default -> {
@@ -77,12 +85,12 @@
 
   private PeerResponse respond(String path, PeerMessage message) {
     PeerMessage self = messages.create();
-    if (outdated.isOutdated(message)) {
+    if (outdatedMessages.isOutdated(message)) {
       return new PeerResponse(self, false, null);
     }
     return switch (path) {
       case PeerProtocol.WITHDRAWAL_PATH -> respondToWithdrawal(message, self);
-      case PeerProtocol.VOTE_PATH -> new PeerResponse(self, grantsLease(message, true), null);
+      case PeerProtocol.VOTE_PATH -> new PeerResponse(self, tryGrantLease(message, true), null);
       default -> respondToHeartbeat(message, self);
     };
   }
@@ -94,13 +102,13 @@
 
   private PeerResponse respondToHeartbeat(PeerMessage message, PeerMessage self) {
     reachability.recordStateServiceAvailability(message);
-    jobProgress.record(message);
-    boolean granted = grantsLease(message, false);
+    jobProgress.update(message);
+    boolean granted = tryGrantLease(message, false);
     boolean fromLeader = message.term() != PeerMessage.NO_TERM;
-    return new PeerResponse(self, granted, fromLeader ? cancellations.get() : null);
+    return new PeerResponse(self, granted, fromLeader ? knownCancellations.get() : null);
   }
 
-  private boolean grantsLease(PeerMessage message, boolean candidate) {
+  private boolean tryGrantLease(PeerMessage message, boolean candidate) {
     return message.term() != PeerMessage.NO_TERM
         && leadership.grantLease(
             message.senderNode(),
