--- a/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
+++ b/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
@@ -15,7 +15,7 @@
   private final Settings settings;
   private final LeaderTerm term;
   private final Cluster cluster;
-  private final MachineListPoller machineList;
+  private final MachineListPoller machineListPoller;
   private final ScaleOut scaleOut;
   private final ScaleIn scaleIn;
   private final Consolidation consolidation;
@@ -38,7 +38,7 @@
     RentalOrders orders = new RentalOrders(loop, settings, cloud, metrics, term, cluster, backoff);
     MachineReturns returns =
         new MachineReturns(loop, settings, cloud, metrics, term, cluster, backoff);
-    this.machineList = new MachineListPoller(loop, cloud, term, cluster);
+    this.machineListPoller = new MachineListPoller(loop, cloud, term, cluster);
     this.scaleOut = new ScaleOut(loop, settings, cluster, bootTimes, orders, backoff);
     this.scaleIn = new ScaleIn(loop, term, cluster, bootTimes, returns);
     this.consolidation = new Consolidation(loop, cluster);
@@ -46,10 +46,10 @@
 
   /** Starts to poll the cloud's list of machines and to scale. */
   public void start() {
-    machineList.poll();
+    machineListPoller.poll();
     term.repeatWhileActive(
         Math.max(settings.heartbeatIntervalS(), 2 / settings.cloudRequestsPerS()),
-        machineList::poll);
+        machineListPoller::poll);
     term.repeatWhileActive(settings.heartbeatIntervalS() / 3, this::scale);
   }
 
@@ -58,7 +58,7 @@
    *
    * @param tasks in the order of the queue
    */
-  public void tasksUnplaced(List<SchedulingPlan.UnplacedTasks> tasks) {
+  public void onTasksUnplaced(List<SchedulingPlan.UnplacedTasks> tasks) {
     unplaced = tasks;
     scaleOut();
   }
@@ -87,7 +87,7 @@
   private boolean mayRent() {
     return term.isActive()
         && term.hasLoadedRecords()
-        && machineList.isComplete()
+        && machineListPoller.hasReadWholeList()
         && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.cloudListLagS());
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/BootTimes.java
+++ b/src/main/java/org/saffronshore/autoscaling/BootTimes.java
@@ -12,27 +12,27 @@
   private final Cluster cluster;
 
   /** What is assumed for a machine whose type is not known. */
-  private final double unknownTypeS;
+  private final double defaultBootTimeS;
 
   BootTimes(Settings settings, Cluster cluster) {
     this.cluster = cluster;
-    this.unknownTypeS = settings.workerLeaseS();
+    this.defaultBootTimeS = settings.workerLeaseS();
   }
 
   /** The boot time of a type; null is a type that is not known, as is one that is not listed. */
   double ofTypeS(@Nullable String typeName) {
     MachineType type = typeName == null ? null : cluster.machineTypes().get(typeName);
-    return type == null ? unknownTypeS : type.bootS();
+    return type == null ? defaultBootTimeS : type.bootS();
   }
 
   /** The longest boot time of all types. */
   double longestS() {
-    return all().max().orElse(unknownTypeS);
+    return allBootTimesS().max().orElse(defaultBootTimeS);
   }
 
   /** The shortest boot time of all types; 0 when no type is known. */
   double shortestS() {
-    return all().min().orElse(0);
+    return allBootTimesS().min().orElse(0);
   }
 
   /** The shortest boot time of the types on which the job's tasks fit; 0 when there is none. */
@@ -44,7 +44,7 @@
         .orElse(0);
   }
 
-  private DoubleStream all() {
+  private DoubleStream allBootTimesS() {
     return cluster.machineTypes().values().stream().mapToDouble(MachineType::bootS);
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
@@ -11,7 +11,7 @@
  */
 final class CapacityBackoff {
   /** The first backoff, as a share of the boot time. */
-  private static final double FIRST_SHARE = 1.0 / 8;
+  private static final double INITIAL_BACKOFF_BOOT_SHARE = 1.0 / 8;
 
   private static final class Refusal {
     double backoffUntil;
@@ -42,7 +42,8 @@
   void onRefused(MachineKind kind) {
     double bootS = bootTimes.ofTypeS(kind.type());
     Refusal refusal = refusals.computeIfAbsent(kind, key -> new Refusal());
-    refusal.backoffS = Math.min(bootS, Math.max(bootS * FIRST_SHARE, refusal.backoffS * 2));
+    refusal.backoffS =
+        Math.min(bootS, Math.max(bootS * INITIAL_BACKOFF_BOOT_SHARE, refusal.backoffS * 2));
     refusal.backoffUntil = loop.now() + refusal.backoffS;
   }
 
--- a/src/main/java/org/saffronshore/autoscaling/Consolidation.java
+++ b/src/main/java/org/saffronshore/autoscaling/Consolidation.java
@@ -77,7 +77,7 @@
     int left = maxDrained;
     for (int i = 0; i < candidates.size() && i < CANDIDATES_PER_DRAIN * left && left > 0; i++) {
       Machine machine = candidates.get(i);
-      if (moveTasks(machine, freeByMachine)) {
+      if (reserveTargets(machine, freeByMachine)) {
         LOG.debug("Draining machine: machine={} tasks={}", machine.id(), machine.taskCount());
         freeByMachine.remove(machine);
         cluster.drain(machine);
@@ -87,11 +87,11 @@
   }
 
   /** Whether the machine's tasks fit on others; if so, what they take there is subtracted. */
-  private static boolean moveTasks(Machine machine, Map<Machine, Resources> freeByMachine) {
+  private static boolean reserveTargets(Machine machine, Map<Machine, Resources> freeByMachine) {
     List<Runnable> undo = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       JobSpec job = Objects.requireNonNull(attempt.job(), "of a movable machine");
-      Optional<Resources> target = freeOnTarget(machine, job, freeByMachine);
+      Optional<Resources> target = findTargetResources(machine, job, freeByMachine);
       if (target.isEmpty()) {
         undo.forEach(Runnable::run);
         return false;
@@ -103,7 +103,7 @@
   }
 
   /** What is free on the first other machine that takes the task, and costs no more. */
-  private static Optional<Resources> freeOnTarget(
+  private static Optional<Resources> findTargetResources(
       Machine source, JobSpec job, Map<Machine, Resources> freeByMachine) {
     for (var entry : freeByMachine.entrySet()) {
       Machine target = entry.getKey();
--- a/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
@@ -17,7 +17,7 @@
   private final LeaderTerm term;
   private final Cluster cluster;
   private boolean polling;
-  private boolean complete;
+  private boolean wholeListRead;
 
   MachineListPoller(EventLoop loop, CloudClient cloud, LeaderTerm term, Cluster cluster) {
     this.loop = loop;
@@ -27,8 +27,8 @@
   }
 
   /** Whether the whole list has been read at least once. */
-  boolean isComplete() {
-    return complete;
+  boolean hasReadWholeList() {
+    return wholeListRead;
   }
 
   /** Reads the list from its beginning, unless that is going on already. */
@@ -46,10 +46,10 @@
    * @param startedAt when the first page was requested
    */
   private void requestPage(String after, Set<String> listed, double startedAt) {
-    cloud.listMachines(after, page -> onPage(page, after, listed, startedAt));
+    cloud.listMachines(after, page -> onPageReceived(page, after, listed, startedAt));
   }
 
-  private void onPage(
+  private void onPageReceived(
       Optional<MachineListPage> page, String after, Set<String> listed, double startedAt) {
     if (!term.holdsLease() || page.isEmpty()) {
       polling = false;
@@ -68,7 +68,7 @@
       return;
     }
     polling = false;
-    complete = true;
+    wholeListRead = true;
     cluster.removeUnlisted(listed, startedAt);
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
@@ -44,21 +44,21 @@
     return inFlight.contains(machine.id());
   }
 
-  /** Requests the return of machines, {@link CloudClient#MAX_MACHINES_RETURNED} at most. */
+  /** Requests the return of machines, {@link CloudClient#MAX_MACHINES_PER_RETURN} at most. */
   void request(List<String> machines) {
     inFlight.addAll(machines);
     send(machines);
   }
 
   private void send(List<String> machines) {
-    cloud.returnMachines(machines, succeeded -> onResult(machines, succeeded));
+    cloud.returnMachines(machines, succeeded -> onReturnResult(machines, succeeded));
   }
 
-  private void onResult(List<String> machines, boolean succeeded) {
+  private void onReturnResult(List<String> machines, boolean succeeded) {
     if (succeeded) {
       inFlight.removeAll(machines);
       metrics.increment(Metrics.Counter.MACHINES_RETURNED, machines.size());
-      machines.forEach(this::onReturned);
+      machines.forEach(this::onMachineReturned);
     } else if (term.isActive()) {
       loop.schedule(retryDelayS, () -> send(machines));
     } else {
@@ -67,7 +67,7 @@
     }
   }
 
-  private void onReturned(String id) {
+  private void onMachineReturned(String id) {
     Machine machine = cluster.machine(id);
     if (machine != null) {
       backoff.onAvailable(machine.kind());
--- a/src/main/java/org/saffronshore/autoscaling/MachineTypeCache.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineTypeCache.java
@@ -40,7 +40,7 @@
   private Map<String, MachineType> storedTypes = Map.of();
 
   /** The last list from the cloud, or null before the first one. */
-  private @Nullable MachineTypeList fromCloud;
+  private @Nullable MachineTypeList cloudTypes;
 
   /**
    * Creates an empty cache.
@@ -69,26 +69,26 @@
 
   /** Reads the stored types, and from then on the cloud's list at intervals. */
   public void start() {
-    readStored();
-    readCloud();
+    readStoredTypes();
+    readCloudTypes();
   }
 
-  private void readStored() {
-    state.get(Keys.MACHINE_TYPES, RequestPriority.VITAL, this::onStoredRead);
+  private void readStoredTypes() {
+    state.get(Keys.MACHINE_TYPES, RequestPriority.VITAL, this::onStoredTypesRead);
   }
 
-  private void onStoredRead(GetResult result) {
+  private void onStoredTypesRead(GetResult result) {
     if (result.isFound()) {
-      storedTypes = typesIn(result);
+      storedTypes = parseStoredTypes(result);
       if (machineTypes.isEmpty()) {
         update(storedTypes);
       }
     } else if (machineTypes.isEmpty()) {
-      loop.schedule(settings.heartbeatIntervalS() / 6, this::readStored);
+      loop.schedule(settings.heartbeatIntervalS() / 6, this::readStoredTypes);
     }
   }
 
-  private static Map<String, MachineType> typesIn(GetResult result) {
+  private static Map<String, MachineType> parseStoredTypes(GetResult result) {
     try {
       return MachineTypeList.parse(result.value()).types();
     } catch (InvalidFieldException e) {
@@ -97,19 +97,19 @@
     }
   }
 
-  private void readCloud() {
-    cloud.listMachineTypes(this::onCloudRead);
+  private void readCloudTypes() {
+    cloud.listMachineTypes(this::onCloudTypesRead);
   }
 
-  private void onCloudRead(Optional<MachineTypeList> list) {
+  private void onCloudTypesRead(Optional<MachineTypeList> list) {
     boolean usable = list.isPresent() && !list.get().types().isEmpty();
     if (usable) {
       update(list.get().types());
-      fromCloud = list.get();
+      cloudTypes = list.get();
       persist();
     }
     loop.schedule(
-        usable ? settings.workerLeaseS() : settings.heartbeatIntervalS() / 3, this::readCloud);
+        usable ? settings.workerLeaseS() : settings.heartbeatIntervalS() / 3, this::readCloudTypes);
   }
 
   private void update(Map<String, MachineType> types) {
@@ -119,7 +119,7 @@
 
   /** Stores the cloud's list if this controller leads and the stored one differs. */
   public void persist() {
-    MachineTypeList list = fromCloud;
+    MachineTypeList list = cloudTypes;
     if (list == null
         || isStored()
         || !leadership.holdsStoreLease()
@@ -132,7 +132,7 @@
             .expectVersion(Keys.LEADER, leadership.leaderKeyVersion())
             .put(Keys.MACHINE_TYPES, list.toJson()),
         RequestPriority.NORMAL,
-        result -> onCommitted(result, types));
+        result -> onCommitResult(result, types));
   }
 
   /** Whether the stored types differ from the current ones in nothing but prices, which move. */
@@ -142,7 +142,7 @@
             .allMatch(type -> type.equalsIgnoringPrices(storedTypes.get(type.name())));
   }
 
-  private void onCommitted(CommitResult result, Map<String, MachineType> types) {
+  private void onCommitResult(CommitResult result, Map<String, MachineType> types) {
     if (result.isCommitted()) {
       storedTypes = types;
     }
--- a/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
+++ b/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
@@ -48,7 +48,7 @@
   private final int maxInFlight;
   private final double retryDelayS;
   private final Map<String, RentalOrder> inFlight = new LinkedHashMap<>();
-  private long lastNumber;
+  private long lastOrderNumber;
 
   RentalOrders(
       EventLoop loop,
@@ -87,12 +87,12 @@
   void place(MachineKind kind, int count) {
     for (int left = count;
         left > 0 && !isFull() && term.isActive();
-        left -= CloudClient.MAX_MACHINES_RENTED) {
+        left -= CloudClient.MAX_MACHINES_PER_RENTAL) {
       RentalRequest request =
           new RentalRequest(
-              "r-" + term.number() + "-" + ++lastNumber,
+              "r-" + term.number() + "-" + ++lastOrderNumber,
               kind,
-              Math.min(left, CloudClient.MAX_MACHINES_RENTED));
+              Math.min(left, CloudClient.MAX_MACHINES_PER_RENTAL));
       RentalOrder order = new RentalOrder(request, loop.now());
       inFlight.put(request.name(), order);
       send(order);
@@ -100,10 +100,10 @@
   }
 
   private void send(RentalOrder order) {
-    cloud.rentMachines(order.request, result -> onResult(order, result));
+    cloud.rentMachines(order.request, result -> onRentalResult(order, result));
   }
 
-  private void onResult(RentalOrder order, RentalResult result) {
+  private void onRentalResult(RentalOrder order, RentalResult result) {
     boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
     if (unknown && term.isActive()) {
       // It may have been carried out: only the same name again tells, and rents nothing twice.
@@ -113,7 +113,7 @@
     RentalRequest request = order.request;
     inFlight.remove(request.name());
     switch (result.outcome()) {
-      case RENTED -> onRented(order, result.machines());
+      case RENTED -> onMachinesRented(order, result.machines());
       case NO_CAPACITY -> {
         LOG.info("Rental refused, the cloud has no capacity: {}", request);
         backoff.onRefused(request.kind());
@@ -126,7 +126,7 @@
     }
   }
 
-  private void onRented(RentalOrder order, List<String> machines) {
+  private void onMachinesRented(RentalOrder order, List<String> machines) {
     MachineKind kind = order.kind();
     LOG.debug("Rented machines: {} rented={}", order.request, machines.size());
     metrics.increment(Metrics.Counter.MACHINES_RENTED, machines.size());
--- a/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
@@ -17,7 +17,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
   /** A machine that boots for longer than this multiple of the usual time is given up. */
-  private static final double LOST_BOOT_FACTOR = 3;
+  private static final double FAILED_BOOT_FACTOR = 3;
 
   /** An idle machine is kept for this share of the time that a new one takes to boot. */
   private static final double IDLE_BOOT_SHARE = 0.25;
@@ -49,13 +49,13 @@
     onDemandFirst.sort(Comparator.comparing(Machine::isSpot));
     SpareCapacity spare = new SpareCapacity(cluster, bootTimes, now, returns::isInFlight);
     for (Machine machine : onDemandFirst) {
-      if (unneeded.size() == CloudClient.MAX_MACHINES_RETURNED) {
+      if (unneeded.size() == CloudClient.MAX_MACHINES_PER_RETURN) {
         break;
       }
       if (returns.isInFlight(machine)) {
         continue;
       }
-      Optional<ReturnReason> reason = reasonToReturn(machine, now, spare);
+      Optional<ReturnReason> reason = returnReason(machine, now, spare);
       if (reason.isPresent()) {
         LOG.debug("Returning machine: machine={} reason={}", machine.id(), reason.get());
         cluster.markReturning(machine);
@@ -69,13 +69,13 @@
   }
 
   /** Empty when the machine is kept. */
-  private Optional<ReturnReason> reasonToReturn(Machine machine, double now, SpareCapacity spare) {
+  private Optional<ReturnReason> returnReason(Machine machine, double now, SpareCapacity spare) {
     double bootS = bootTimes.ofTypeS(machine.type());
     if (machine.hasFailed()) {
       return Optional.of(ReturnReason.FAILED);
     }
     if (!machine.wasEverUp()) {
-      boolean bootFailed = now > machine.rentedAt() + LOST_BOOT_FACTOR * bootS;
+      boolean bootFailed = now > machine.rentedAt() + FAILED_BOOT_FACTOR * bootS;
       return bootFailed && machine.isEmpty() && !cluster.isUnreconciled(machine)
           ? Optional.of(ReturnReason.NEVER_UP)
           : Optional.empty();
@@ -87,11 +87,11 @@
       return Optional.of(ReturnReason.UNRESPONSIVE);
     }
     return machine.isEmpty() && machine.isReconciled()
-        ? reasonToReturnEmpty(machine, now, bootS, spare)
+        ? returnReasonIfEmpty(machine, now, bootS, spare)
         : Optional.empty();
   }
 
-  private Optional<ReturnReason> reasonToReturnEmpty(
+  private Optional<ReturnReason> returnReasonIfEmpty(
       Machine machine, double now, double bootS, SpareCapacity spare) {
     if (machine.isDraining()) {
       return Optional.of(ReturnReason.DRAINED);
--- a/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
@@ -80,7 +80,7 @@
     List<SchedulingPlan.UnplacedTasks> late =
         forecast.lateTasks(
             forecast.timelines(true), unplaced, job -> now + bootTimes.shortestForS(job));
-    order(late, demand, kind -> true);
+    placeOrders(late, demand, kind -> true);
     rentForExpectedArrivals(demand);
     rentForDisplacedTasks(late, demand);
     double tookS = loop.now() - now;
@@ -101,7 +101,7 @@
   }
 
   /** Orders the cheapest machines for some tasks, of kinds that may be requested. */
-  private void order(
+  private void placeOrders(
       List<SchedulingPlan.UnplacedTasks> tasks, Demand demand, Predicate<MachineKind> allowed) {
     ScaleOutPlan.orders(
             cluster.machineTypes(),
@@ -125,17 +125,17 @@
             forecast.timelines(true),
             queue,
             job -> demand.now + bootTimes.shortestForS(job) * acceptableBootShare(job));
-    order(late, demand, MachineKind::spot);
+    placeOrders(late, demand, MachineKind::spot);
     if (hasBacklog(demand.unplaced)) {
       List<SchedulingPlan.UnplacedTasks> stillLate =
           forecast.lateTasks(
               forecast.timelines(true), queue, job -> demand.now + bootTimes.shortestForS(job));
-      order(stillLate, demand, kind -> true);
+      placeOrders(stillLate, demand, kind -> true);
     }
   }
 
   private double acceptableBootShare(JobSpec job) {
-    return waitObjectives.coverClassOf(job) ? OBJECTIVE_BOOT_SHARE : 1;
+    return waitObjectives.hasObjectiveFor(job) ? OBJECTIVE_BOOT_SHARE : 1;
   }
 
   /**
@@ -179,12 +179,14 @@
             .toList();
     List<SchedulingPlan.UnplacedTasks> withoutPlace =
         forecast.lateTasks(others, displaced, job -> demand.now + bootTimes.shortestForS(job));
-    order(withoutPlace, demand, kind -> isAffordableAlternative(kind, types, scarce));
+    placeOrders(withoutPlace, demand, kind -> isAffordableAlternative(kind, types, scarce));
   }
 
   private static boolean isAffordableAlternative(
       MachineKind kind, Map<String, MachineType> types, ScarceTypes scarce) {
     MachineType type = types.get(kind.type());
-    return type != null && !scarce.contains(kind.type()) && scarce.costAtLeast(type, kind.spot());
+    return type != null
+        && !scarce.contains(kind.type())
+        && scarce.isWithinPriceLimit(type, kind.spot());
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/ScarceTypes.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScarceTypes.java
@@ -36,7 +36,7 @@
   }
 
   /** Whether a CPU on a machine of another type costs no more than one on the scarce machines. */
-  boolean costAtLeast(MachineType other, boolean spot) {
+  boolean isWithinPriceLimit(MachineType other, boolean spot) {
     double pricePerHour = spot ? other.spotPricePerHour() : other.pricePerHour();
     return pricePerHour / other.cpus() <= highestPricePerCpu;
   }
--- a/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -18,7 +18,7 @@
   /** Room for this many typical jobs of each class is kept. */
   private static final double JOBS_PER_CLASS = 1;
 
-  private final Map<Machine, Resources> free = new HashMap<>();
+  private final Map<Machine, Resources> freeByMachine = new HashMap<>();
 
   /** How many tasks of each expected job fit on all machines together. */
   private final Map<ExpectedJob, Double> fittingTasks = new LinkedHashMap<>();
@@ -37,14 +37,14 @@
       Resources freeOnMachine =
           excluded.test(machine) ? null : cluster.view().freeResources(machine);
       if (freeOnMachine != null) {
-        free.put(machine, freeOnMachine);
+        freeByMachine.put(machine, freeOnMachine);
         fittingTasks.replaceAll((expected, sum) -> sum + fittingTasksOn(machine, expected));
       }
     }
   }
 
   private double fittingTasksOn(Machine machine, ExpectedJob expected) {
-    Resources freeOnMachine = free.get(machine);
+    Resources freeOnMachine = freeByMachine.get(machine);
     return freeOnMachine == null || !machine.kind().allows(expected.task())
         ? 0
         : ArrivalStatistics.fittingTasks(freeOnMachine, expected.task());
@@ -64,6 +64,6 @@
   /** Stops to count a machine. */
   void remove(Machine machine) {
     fittingTasks.replaceAll((expected, sum) -> sum - fittingTasksOn(machine, expected));
-    free.remove(machine);
+    freeByMachine.remove(machine);
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
+++ b/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
@@ -8,7 +8,7 @@
 /** The users' objectives for how long tasks of a class wait for their start. */
 final class WaitObjectives {
   /** What the settings call an objective for the waiting time. */
-  private static final String WAIT = "wait";
+  private static final String KIND_WAIT = "wait";
 
   private final List<Objective> objectives;
 
@@ -17,7 +17,7 @@
   }
 
   /** Whether there is an objective for the job's class. */
-  boolean coverClassOf(JobSpec job) {
+  boolean hasObjectiveFor(JobSpec job) {
     return shortestWaitS(job) < Double.POSITIVE_INFINITY;
   }
 
@@ -26,7 +26,7 @@
     return objectives.stream()
         .filter(
             objective ->
-                objective.kind().equals(WAIT) && job.jobClass().equals(objective.jobClass()))
+                objective.kind().equals(KIND_WAIT) && job.jobClass().equals(objective.jobClass()))
         .mapToDouble(Objective::withinS)
         .min()
         .orElse(Double.POSITIVE_INFINITY);
--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -27,10 +27,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
   /** The cloud takes no more machines back with one request. */
-  public static final int MAX_MACHINES_RETURNED = 100;
+  public static final int MAX_MACHINES_PER_RETURN = 100;
 
   /** The cloud rents out no more machines with one request. */
-  public static final int MAX_MACHINES_RENTED = 50;
+  public static final int MAX_MACHINES_PER_RENTAL = 50;
 
   private static final int PAGE_SIZE = 500;
   private static final double TIMEOUT_S = 5;
@@ -67,10 +67,10 @@
         "/machine_types",
         null,
         RequestPriority.NORMAL,
-        response -> callback.accept(typesIn(response)));
+        response -> callback.accept(parseMachineTypes(response)));
   }
 
-  private static Optional<MachineTypeList> typesIn(Response response) {
+  private static Optional<MachineTypeList> parseMachineTypes(Response response) {
     if (!response.ok()) {
       return Optional.empty();
     }
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -31,10 +31,10 @@
     if (response.ok() && body.isPresent()) {
       return new RentalResult(Outcome.RENTED, body.get().machines());
     }
-    return new RentalResult(failure(response.status(), body), List.of());
+    return new RentalResult(failureOutcome(response.status(), body), List.of());
   }
 
-  private static Outcome failure(int status, Optional<RentalResponse> body) {
+  private static Outcome failureOutcome(int status, Optional<RentalResponse> body) {
     if (status == UNAVAILABLE && body.isPresent() && body.get().noCapacity()) {
       return Outcome.NO_CAPACITY;
     }
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -185,6 +185,6 @@
   private void cycleCompleted(SchedulingPlan plan) {
     failover.saveLaunchWatermarks();
     commands.sendDue();
-    autoscaler.tasksUnplaced(plan.unplaced());
+    autoscaler.onTasksUnplaced(plan.unplaced());
   }
 }
--- a/src/test/java/org/saffronshore/autoscaling/BootTimesTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/BootTimesTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void typesThatAreKnownHaveTheirBootTimes() {
+  void knownTypesHaveTheirListedBootTimes() {
     cluster.machineTypes(TYPES);
     assertEquals(90, bootTimes.ofTypeS("large"));
     assertEquals(30, bootTimes.shortestS());
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void shortestBootTimeForAJobIsThatOfTheTypesOnWhichItsTasksFit() {
+  void shortestBootTimeForJobConsidersOnlyTypesThatFitItsTasks() {
     cluster.machineTypes(TYPES);
     assertEquals(30, shortestForTaskOf(4));
     assertEquals(90, shortestForTaskOf(5));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void typeThatIsNotKnownIsAssumedToBootForAWorkerLease() {
+  void unknownTypeHasBootTimeOfOneWorkerLease() {
     assertEquals(TestData.LEASE_S, bootTimes.ofTypeS(null));
     assertEquals(TestData.LEASE_S, bootTimes.ofTypeS("small"));
     assertEquals(TestData.LEASE_S, bootTimes.longestS());
--- a/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
@@ -22,7 +22,7 @@
       new CapacityBackoff(loop, new BootTimes(TestData.settings(), cluster));
 
   @BeforeEach
-  void knowTypes() {
+  void setMachineTypes() {
     cluster.machineTypes(TestData.TYPES);
   }
 
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void kindThatWasNeverRefusedMayBeRequested() {
+  void kindWithoutRefusalMayBeRequested() {
     assertTrue(backoff.mayRequest(KIND, loop.now()));
     assertFalse(backoff.wasRefused(KIND));
   }
@@ -50,20 +50,20 @@
   }
 
   @Test
-  void kindCountsAsRefusedAlsoAfterItsBackoff() {
+  void kindStaysRefusedAfterItsBackoffHasElapsed() {
     backoffAfterRefusalS();
     assertTrue(backoff.wasRefused(KIND));
   }
 
   @Test
-  void refusalDoesNotConcernOtherKinds() {
+  void refusalDoesNotAffectOtherKinds() {
     backoff.onRefused(KIND);
     assertTrue(backoff.mayRequest(OTHER_ZONE, loop.now()));
     assertFalse(backoff.wasRefused(OTHER_ZONE));
   }
 
   @Test
-  void backoffStartsAnewWhenTheCloudHasMachinesOfTheKindAgain() {
+  void backoffIsResetWhenKindBecomesAvailable() {
     backoffAfterRefusalS();
     backoff.onRefused(KIND);
     backoff.onAvailable(KIND);
--- a/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
@@ -24,8 +24,8 @@
     "wait, , 90",
     "stretch, class, 90",
   })
-  void shortestObjectiveForTheWaitOfTheClassCounts(String kind, String jobClass, double expectedS)
-      throws InvalidFieldException {
+  void shortestWaitIsThatOfTheStrictestWaitObjectiveOfTheClass(
+      String kind, String jobClass, double expectedS) throws InvalidFieldException {
     ObjectNode settings = TestData.settingsJson();
     settings
         .withObject("/cluster")
@@ -40,12 +40,12 @@
 
   @ParameterizedTest
   @CsvSource({"class, true", "other, false"})
-  void classIsCoveredIfAnObjectiveNamesIt(String jobClass, boolean covered)
+  void jobHasObjectiveOnlyIfAnObjectiveNamesItsClass(String jobClass, boolean covered)
       throws InvalidFieldException {
     ObjectNode settings = TestData.settingsJson();
     settings.withObject("/cluster").putArray("objectives").add(objective("wait", jobClass, 90));
     WaitObjectives objectives = new WaitObjectives(Settings.parse(settings));
     assertEquals(
-        covered, objectives.coverClassOf(TestData.job("wk-1", "red", Priority.URGENT, 1, 4)));
+        covered, objectives.hasObjectiveFor(TestData.job("wk-1", "red", Priority.URGENT, 1, 4)));
   }
 }
