--- a/src/main/java/org/saffronshore/cloud/CloudClient.java
+++ b/src/main/java/org/saffronshore/cloud/CloudClient.java
@@ -19,27 +19,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests to the cloud, within this controller's share of the request rate. A controller
- * that does not lead requests machine types only. Every callback is called exactly once, on the
- * event loop.
+ * A client for the cloud's API that keeps within this controller's share of the cloud's request
+ * rate. A controller that does not lead only requests machine types. Every callback is called
+ * exactly once, on the event loop.
  */
 public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
-  /** The cloud takes no more machines back with one request. */
+  /** The maximum number of machines that the cloud takes back with one request. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
 
-  /** The cloud rents out no more machines with one request. */
+  /** The maximum number of machines that the cloud rents out with one request. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
 
   private static final int PAGE_SIZE = 500;
   private static final double TIMEOUT_S = 5;
   private static final int TOO_MANY_REQUESTS = 429;
 
-  /** The leader's share of the request rate; followers send few requests and share the rest. */
+  /**
+   * The leader's share of the cloud's request rate. Followers send few requests and share the rest.
+   */
   private static final double LEADER_SHARE = 0.8;
 
-  /** So many seconds' worth of requests may be sent at once after a quiet time. */
+  /** The number of requests that may be sent at once after idle time, in seconds of the rate. */
   private static final double BURST_S = 2;
 
   private final EventLoop loop;
@@ -47,7 +49,7 @@
   private final Settings settings;
   private final RateLimiter requestBudget;
 
-  /** Creates a client with a request budget of its own. */
+  /** Creates a client with its own request budget. */
   public CloudClient(EventLoop loop, Client client, Settings settings) {
     this.loop = loop;
     this.client = client;
@@ -59,7 +61,7 @@
   /**
    * Requests the machine types.
    *
-   * @param callback receives an empty result when they could not be had or read
+   * @param callback receives an empty result if the request failed or the response is invalid
    */
   public void listMachineTypes(Consumer<Optional<MachineTypeList>> callback) {
     send(
@@ -85,8 +87,8 @@
   /**
    * Requests one page of the list of machines.
    *
-   * @param after lists only machines whose ids come after this one; empty for the first page
-   * @param callback receives an empty result when the page could not be had
+   * @param after id after which the page starts; empty for the first page
+   * @param callback receives an empty result if the request failed or the response holds no list
    */
   public void listMachines(String after, Consumer<Optional<MachineListPage>> callback) {
     String path = "/hosts?" + (after.isEmpty() ? "" : "After=" + after + "&") + "Most=" + PAGE_SIZE;
@@ -101,8 +103,8 @@
   }
 
   /**
-   * Rents machines. The request's name makes a repetition harmless, and must never be used for
-   * another request.
+   * Rents machines. A repetition under the same name rents no further machines, so a name must
+   * never be used for a different request.
    */
   public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
     send(
@@ -116,7 +118,9 @@
   /**
    * Returns machines.
    *
-   * @param callback receives whether it succeeded: then they and everything on them are gone
+   * @param machines ids of at most {@link #MAX_MACHINES_PER_RETURN} machines
+   * @param callback receives whether the request succeeded; if so, the machines no longer exist and
+   *     nothing runs on them
    */
   public void returnMachines(List<String> machines, Consumer<Boolean> callback) {
     send(
@@ -128,9 +132,10 @@
   }
 
   /**
-   * Sends a request, or fails it when the budget is spent.
+   * Sends a request. If the request budget is exhausted, the request is not sent and the callback
+   * receives status 429.
    *
-   * @param priority a vital request may use the reserve of the budget
+   * @param priority a vital request may also use the reserve of the request budget
    */
   private void send(
       String method,
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -8,18 +8,18 @@
 /**
  * The result of a rental request.
  *
- * @param machines ids of the rented machines, fewer than requested where the cloud has no more;
- *     empty unless the outcome is RENTED
+ * @param machines ids of the rented machines, fewer than requested if the cloud has no more; empty
+ *     unless the outcome is {@link Outcome#RENTED}
  */
 public record RentalResult(Outcome outcome, List<String> machines) {
 
-  /** What the cloud did with the request. */
+  /** The outcome of a rental request. */
   public enum Outcome {
     RENTED,
     NO_CAPACITY,
     MALFORMED,
 
-    /** It may have been carried out, and has to be repeated under the same name. */
+    /** The cloud may have rented out machines; the request must be repeated under the same name. */
     UNKNOWN
   }
 
--- a/src/main/java/org/saffronshore/cloud/package-info.java
+++ b/src/main/java/org/saffronshore/cloud/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The client of the cloud that rents out machines: requests within this controller's share of the
- * cloud's request rate, and their typed results. What a request or a response looks like is the
- * business of {@code wire}; when to send one and what follows from its result is decided in {@code
- * autoscaling}.
+ * The client of the cloud that rents out machines: it sends requests within this controller's share
+ * of the cloud's request rate and provides typed results. The formats of requests and responses are
+ * defined in {@code wire}; {@code autoscaling} decides when to send a request and how to handle its
+ * result.
  */
 @NullMarked
 package org.saffronshore.cloud;
