--- a/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
@@ -11,7 +11,7 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.wire.MachineKind;
 
-/** Machines of the type in {@link TestData#TYPES} boot for 40 s. */
+/** Tests the backoff of refused machine kinds; {@link TestData#TYPES} has a boot time of 40 s. */
 class CapacityBackoffTest {
   private static final MachineKind KIND = new MachineKind("big", "a", true);
   private static final MachineKind OTHER_ZONE = new MachineKind("big", "b", true);
@@ -28,12 +28,12 @@
 
   private double backoffAfterRefusalS() {
     backoff.onRefused(KIND);
-    double seconds = 0;
+    double elapsedS = 0;
     while (!backoff.mayRequest(KIND, loop.now())) {
       loop.pass(1);
-      seconds++;
+      elapsedS++;
     }
-    return seconds;
+    return elapsedS;
   }
 
   @Test
--- a/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
@@ -16,7 +16,10 @@
     return Json.object().put("kind", kind).put("class", jobClass).put("within_s", withinS);
   }
 
-  /** Kind and class of an objective of 60 s beside others; then the shortest wait for "class". */
+  /**
+   * An objective of 60 s with the given kind and class is added between wait objectives of 90 s and
+   * 120 s for "class".
+   */
   @ParameterizedTest
   @CsvSource({
     "wait, class, 60",
