--- a/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
+++ b/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
@@ -9,7 +9,10 @@
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.SchedulingPlan;
 
-/** Keeps the rented machines in line with what the tasks need, for one term. */
+/**
+ * Adjusts the number and kinds of rented machines to what the tasks need, for the duration of one
+ * leader term.
+ */
 public final class Autoscaler {
   private final EventLoop loop;
   private final Settings settings;
@@ -21,7 +24,7 @@
   private final Consolidation consolidation;
   private List<SchedulingPlan.UnplacedTasks> unplaced = List.of();
 
-  /** Builds the loops of a term; they run from {@link #start} on. */
+  /** Creates the autoscaler of a term; it does nothing until {@link #start} is called. */
   public Autoscaler(
       EventLoop loop,
       Settings settings,
@@ -44,7 +47,7 @@
     this.consolidation = new Consolidation(loop, cluster);
   }
 
-  /** Starts to poll the cloud's list of machines and to scale. */
+  /** Starts the periodic polling of the cloud's machine list and the periodic scaling. */
   public void start() {
     machineListPoller.poll();
     term.repeatWhileActive(
@@ -54,9 +57,9 @@
   }
 
   /**
-   * Rents for the tasks that the last scheduling cycle found no place for.
+   * Called after a scheduling cycle; rents machines for the tasks that the cycle could not place.
    *
-   * @param tasks in the order of the queue
+   * @param tasks the unplaced tasks, in queue order
    */
   public void onTasksUnplaced(List<SchedulingPlan.UnplacedTasks> tasks) {
     unplaced = tasks;
@@ -81,8 +84,9 @@
   }
 
   /**
-   * The machines that an earlier leader rented last are in no list yet: renting for the same tasks
-   * again would be waste.
+   * Returns whether machines may be rented now. A leader other than the first one waits for the lag
+   * of the cloud's machine list: the machines that the previous leader rented last are not listed
+   * before that, and machines would be rented twice for the same tasks.
    */
   private boolean mayRent() {
     return term.isActive()
--- a/src/main/java/org/saffronshore/autoscaling/BootTimes.java
+++ b/src/main/java/org/saffronshore/autoscaling/BootTimes.java
@@ -7,11 +7,11 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 
-/** How long machines take from the rental request until their worker is up, in seconds. */
+/** The boot times of machines: the seconds from the rental request until the worker is up. */
 final class BootTimes {
   private final Cluster cluster;
 
-  /** What is assumed for a machine whose type is not known. */
+  /** The boot time that is assumed for machines of an unknown type. */
   private final double defaultBootTimeS;
 
   BootTimes(Settings settings, Cluster cluster) {
@@ -19,23 +19,26 @@
     this.defaultBootTimeS = settings.workerLeaseS();
   }
 
-  /** The boot time of a type; null is a type that is not known, as is one that is not listed. */
+  /**
+   * Returns the boot time of a machine type. A default applies if the name is null or the cloud
+   * does not list the type.
+   */
   double ofTypeS(@Nullable String typeName) {
     MachineType type = typeName == null ? null : cluster.machineTypes().get(typeName);
     return type == null ? defaultBootTimeS : type.bootS();
   }
 
-  /** The longest boot time of all types. */
+  /** Returns the longest boot time of all types; the default if no type is known. */
   double longestS() {
     return allBootTimesS().max().orElse(defaultBootTimeS);
   }
 
-  /** The shortest boot time of all types; 0 when no type is known. */
+  /** Returns the shortest boot time of all types; 0 if no type is known. */
   double shortestS() {
     return allBootTimesS().min().orElse(0);
   }
 
-  /** The shortest boot time of the types on which the job's tasks fit; 0 when there is none. */
+  /** Returns the shortest boot time of the types that fit the job's tasks; 0 if there is none. */
   double shortestForS(JobSpec job) {
     return cluster.machineTypes().values().stream()
         .filter(type -> type.fits(job))
--- a/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
@@ -6,11 +6,12 @@
 import org.saffronshore.wire.MachineKind;
 
 /**
- * The kinds of machines that the cloud has refused to rent out. After each refusal a kind is not
- * requested for a while, which doubles up to its boot time.
+ * Tracks the machine kinds that the cloud has refused to rent out. After a refusal the kind is not
+ * requested for a backoff period, which doubles with each further refusal up to the boot time of
+ * the machine type.
  */
 final class CapacityBackoff {
-  /** The first backoff, as a share of the boot time. */
+  /** The backoff after the first refusal, as a share of the boot time. */
   private static final double INITIAL_BACKOFF_BOOT_SHARE = 1.0 / 8;
 
   private static final class Refusal {
@@ -27,18 +28,28 @@
     this.bootTimes = bootTimes;
   }
 
-  /** Whether the kind may be requested at a time of the event loop's clock. */
+  /**
+   * Returns whether machines of the kind may be requested.
+   *
+   * @param now the time by the event loop's clock
+   */
   boolean mayRequest(MachineKind kind, double now) {
     Refusal refusal = refusals.get(kind);
     return refusal == null || now >= refusal.backoffUntil;
   }
 
-  /** Whether the last response for this kind was a refusal, however long ago. */
+  /**
+   * Returns whether the cloud's last response for this kind was a refusal, regardless of whether
+   * the backoff has elapsed.
+   */
   boolean wasRefused(MachineKind kind) {
     return refusals.containsKey(kind);
   }
 
-  /** The cloud has fewer machines of this kind than were requested. */
+  /**
+   * Called when the cloud has refused a request for machines of this kind or rented out fewer than
+   * requested. Starts the next backoff.
+   */
   void onRefused(MachineKind kind) {
     double bootS = bootTimes.ofTypeS(kind.type());
     Refusal refusal = refusals.computeIfAbsent(kind, key -> new Refusal());
@@ -48,7 +59,9 @@
   }
 
   /**
-   * The cloud has machines of this kind: it rented out all that were requested, or got one back.
+   * Called when the cloud has machines of this kind again: it has rented out all that were
+   * requested, or a machine of this kind has been returned. Ends the backoff and resets its
+   * duration.
    */
   void onAvailable(MachineKind kind) {
     refusals.remove(kind);
--- a/src/main/java/org/saffronshore/autoscaling/CapacityForecast.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityForecast.java
@@ -10,9 +10,9 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.MachineType;
 
-/** Which tasks would start late on the machines that are up, booting or ordered. */
+/** Forecasts which tasks would start late on the machines that are up, booting or on order. */
 final class CapacityForecast {
-  /** A boot that takes longer than this multiple of the usual time is not counted on. */
+  /** A machine that has been booting for longer than this multiple of its boot time is ignored. */
   private static final double LATE_BOOT_FACTOR = 1.6;
 
   private final Cluster cluster;
@@ -24,9 +24,10 @@
   }
 
   /**
-   * The machines that are up, booting or ordered, with what is free on them over time.
+   * Returns the timelines of free resources on the machines that are up, booting or on order.
    *
-   * @param countReleases whether to count what running tasks will release
+   * @param countReleases whether to include the resources that running tasks are expected to
+   *     release
    */
   List<Forecast.MachineTimeline> timelines(boolean countReleases) {
     List<Forecast.MachineTimeline> timelines =
@@ -43,9 +44,9 @@
   }
 
   /**
-   * The tasks of the queue that would start too late.
+   * Returns the tasks of the queue that would start too late. The timelines are modified.
    *
-   * @param latestStart the latest acceptable start of a job's tasks, on the event loop's clock
+   * @param latestStart the latest acceptable start of a job's tasks, by the event loop's clock
    */
   List<SchedulingPlan.UnplacedTasks> lateTasks(
       List<Forecast.MachineTimeline> timelines,
--- a/src/main/java/org/saffronshore/autoscaling/Consolidation.java
+++ b/src/main/java/org/saffronshore/autoscaling/Consolidation.java
@@ -17,23 +17,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drains underused machines whose tasks fit on others, so that scale in can return them. Only
- * machines whose tasks all save checkpoints are drained: a half empty machine costs more than to
- * save the work and to continue elsewhere.
+ * Drains underused machines whose tasks fit on other machines, so that scale-in can return them.
+ * Only machines on which every task supports checkpoints are drained: saving the progress of those
+ * tasks and resuming them elsewhere costs less than keeping a half-empty machine.
  */
 final class Consolidation {
   private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
-  /** The cloud bills a machine for this long at least. */
+  /** The minimum time in seconds for which the cloud bills a machine. */
   static final double MIN_BILLED_S = 60;
 
-  /** Tasks that have run for less than this are not stopped: the launch would have been wasted. */
+  /** Tasks that have run for less than this are not moved, since their launch would be wasted. */
   private static final double MIN_RUN_S = 30;
 
-  /** This share of the machines may be draining at the same time. */
+  /**
+   * The maximum share of machines that may be draining at the same time, relative to the
+   * schedulable machines that hold tasks. One machine may always be draining.
+   */
   private static final double MAX_DRAINING_SHARE = 0.02;
 
-  /** So many candidates are tried for each machine that may be drained. */
+  /** The number of candidates that are examined per machine that may still be drained. */
   private static final int CANDIDATES_PER_DRAIN = 4;
 
   private final EventLoop loop;
@@ -44,7 +47,10 @@
     this.cluster = cluster;
   }
 
-  /** Drains the least used machines whose tasks fit on others, a few machines at a time. */
+  /**
+   * Drains the least used machines whose tasks fit on other machines, on-demand machines first and
+   * only a few at a time.
+   */
   void drainUnderused() {
     double now = loop.now();
     List<Machine> candidates = new ArrayList<>();
@@ -74,35 +80,45 @@
 
   private void drain(
       List<Machine> candidates, Map<Machine, Resources> freeByMachine, int maxDrained) {
-    int left = maxDrained;
-    for (int i = 0; i < candidates.size() && i < CANDIDATES_PER_DRAIN * left && left > 0; i++) {
+    int remaining = maxDrained;
+    for (int i = 0;
+        i < candidates.size() && i < CANDIDATES_PER_DRAIN * remaining && remaining > 0;
+        i++) {
       Machine machine = candidates.get(i);
       if (reserveTargets(machine, freeByMachine)) {
         LOG.debug("Draining machine: machine={} tasks={}", machine.id(), machine.taskCount());
         freeByMachine.remove(machine);
         cluster.drain(machine);
-        left--;
+        remaining--;
       }
     }
   }
 
-  /** Whether the machine's tasks fit on others; if so, what they take there is subtracted. */
+  /**
+   * Reserves resources on other machines for all tasks of a machine. If not every task fits,
+   * nothing is reserved.
+   *
+   * @return whether all tasks fit on other machines
+   */
   private static boolean reserveTargets(Machine machine, Map<Machine, Resources> freeByMachine) {
-    List<Runnable> undo = new ArrayList<>();
+    List<Runnable> rollback = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
-      JobSpec job = Objects.requireNonNull(attempt.job(), "of a movable machine");
+      JobSpec job = Objects.requireNonNull(attempt.job(), "job of an attempt on a movable machine");
       Optional<Resources> target = findTargetResources(machine, job, freeByMachine);
       if (target.isEmpty()) {
-        undo.forEach(Runnable::run);
+        rollback.forEach(Runnable::run);
         return false;
       }
       target.get().subtract(job);
-      undo.add(() -> target.get().add(job));
+      rollback.add(() -> target.get().add(job));
     }
     return true;
   }
 
-  /** What is free on the first other machine that takes the task, and costs no more. */
+  /**
+   * Returns the free resources of the first other machine on which the task fits, or empty if there
+   * is none. A task is not moved from a spot machine to an on-demand machine, which costs more.
+   */
   private static Optional<Resources> findTargetResources(
       Machine source, JobSpec job, Map<Machine, Resources> freeByMachine) {
     for (var entry : freeByMachine.entrySet()) {
--- a/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
@@ -10,7 +10,7 @@
 import org.saffronshore.wire.ListedMachine;
 import org.saffronshore.wire.MachineListPage;
 
-/** Keeps one term's cluster in line with the cloud's list of machines. */
+/** Synchronizes the cluster of one term with the cloud's machine list. */
 final class MachineListPoller {
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -26,12 +26,12 @@
     this.cluster = cluster;
   }
 
-  /** Whether the whole list has been read at least once. */
+  /** Returns whether the whole list has been read at least once in this term. */
   boolean hasReadWholeList() {
     return wholeListRead;
   }
 
-  /** Reads the list from its beginning, unless that is going on already. */
+  /** Reads the list from the first page, unless a poll is already in progress. */
   void poll() {
     if (!polling) {
       polling = true;
@@ -40,10 +40,11 @@
   }
 
   /**
-   * Requests the page after a machine.
+   * Requests one page of the list.
    *
-   * @param listed ids of the machines on the pages before, to which this page's are added
-   * @param startedAt when the first page was requested
+   * @param after id of the last machine on the previous page; empty for the first page
+   * @param listed ids of the machines on the previous pages; those on this page are added
+   * @param startedAt time at which the first page was requested, by the event loop's clock
    */
   private void requestPage(String after, Set<String> listed, double startedAt) {
     cloud.listMachines(after, page -> onPageReceived(page, after, listed, startedAt));
@@ -55,16 +56,16 @@
       polling = false;
       return;
     }
-    String last = after;
+    String lastId = after;
     for (ListedMachine machine : page.get().machines()) {
-      last = machine.id();
-      listed.add(last);
+      lastId = machine.id();
+      listed.add(lastId);
       cluster.machineListed(machine);
     }
-    // A page that is said not to be the last one, and has nothing on it, would be requested
-    // forever.
-    if (!page.get().isLast() && !last.equals(after)) {
-      requestPage(last, listed, startedAt);
+    // A page without machines counts as the end of the list even if the cloud reports that more
+    // pages follow: the same page would otherwise be requested forever.
+    if (!page.get().isLast() && !lastId.equals(after)) {
+      requestPage(lastId, listed, startedAt);
       return;
     }
     polling = false;
--- a/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
@@ -11,7 +11,10 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 
-/** The return requests of one term that are in flight; they are repeated until they succeed. */
+/**
+ * The return requests of one term that are in flight. A failed request is repeated until it
+ * succeeds or this controller is no longer the active leader.
+ */
 final class MachineReturns {
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -39,12 +42,16 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 3;
   }
 
-  /** Whether the return of this machine has been requested, and not been answered yet. */
+  /** Returns whether the return of this machine has been requested and has not succeeded yet. */
   boolean isInFlight(Machine machine) {
     return inFlight.contains(machine.id());
   }
 
-  /** Requests the return of machines, {@link CloudClient#MAX_MACHINES_PER_RETURN} at most. */
+  /**
+   * Requests the return of machines.
+   *
+   * @param machines ids of at most {@link CloudClient#MAX_MACHINES_PER_RETURN} machines
+   */
   void request(List<String> machines) {
     inFlight.addAll(machines);
     send(machines);
@@ -62,7 +69,8 @@
     } else if (term.isActive()) {
       loop.schedule(retryDelayS, () -> send(machines));
     } else {
-      // A successor may have launched tasks on them since: it decides whether they are returned.
+      // The next leader may have launched tasks on these machines in the meantime, so it decides
+      // whether they are returned.
       inFlight.removeAll(machines);
     }
   }
--- a/src/main/java/org/saffronshore/autoscaling/MachineTypeCache.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineTypeCache.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The cloud's machine types. The leader stores them in the state service: controllers that start
- * while the cloud's API is away could otherwise neither accept jobs nor place tasks, although all
- * machines are there.
+ * A cache of the cloud's machine types. The leader also stores them in the state service. Otherwise
+ * a controller that starts while the cloud's API is unavailable could neither accept jobs nor place
+ * tasks, although all machines are running.
  */
 public final class MachineTypeCache {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
@@ -39,13 +39,13 @@
   private Map<String, MachineType> machineTypes = Map.of();
   private Map<String, MachineType> storedTypes = Map.of();
 
-  /** The last list from the cloud, or null before the first one. */
+  /** The last usable list from the cloud, or null before the first one. */
   private @Nullable MachineTypeList cloudTypes;
 
   /**
    * Creates an empty cache.
    *
-   * @param onChange receives the machine types whenever they have been read
+   * @param onChange receives the machine types each time they have been read
    */
   public MachineTypeCache(
       EventLoop loop,
@@ -62,12 +62,15 @@
     this.onChange = onChange;
   }
 
-  /** The machine types by name; empty until the state service or the cloud has been read. */
+  /**
+   * Returns the machine types by name; empty until they have been read from the state service or
+   * the cloud.
+   */
   public Map<String, MachineType> machineTypes() {
     return machineTypes;
   }
 
-  /** Reads the stored types, and from then on the cloud's list at intervals. */
+  /** Starts to read the stored types, and to read the cloud's list periodically. */
   public void start() {
     readStoredTypes();
     readCloudTypes();
@@ -117,7 +120,11 @@
     onChange.accept(types);
   }
 
-  /** Stores the cloud's list if this controller leads and the stored one differs. */
+  /**
+   * Stores the cloud's list in the state service if it differs from the stored list in more than
+   * prices, this controller holds the leader's lease there, and the list does not exceed the size
+   * limit of a value.
+   */
   public void persist() {
     MachineTypeList list = cloudTypes;
     if (list == null
@@ -135,7 +142,10 @@
         result -> onCommitResult(result, types));
   }
 
-  /** Whether the stored types differ from the current ones in nothing but prices, which move. */
+  /**
+   * Returns whether the stored types equal the current ones. Prices are ignored, since they change
+   * often.
+   */
   private boolean isStored() {
     return storedTypes.keySet().equals(machineTypes.keySet())
         && machineTypes.values().stream()
--- a/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
+++ b/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
@@ -18,16 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The rental orders of one term that are in flight. An order whose outcome is unknown is repeated
- * under its name; a refused one puts its kind into backoff.
+ * The rental orders of one term that are in flight. An order whose outcome is unknown is sent again
+ * under the same name; an order that is refused or only partly filled starts a backoff for its
+ * machine kind.
  */
 final class RentalOrders {
   private static final Logger LOG = LoggerFactory.getLogger(RentalOrders.class);
 
   /**
-   * An order that the cloud has not answered yet.
+   * An order whose outcome is not known yet.
    *
-   * @param requestedAt when it was placed, on the event loop's clock
+   * @param requestedAt time at which the order was placed, by the event loop's clock
    */
   record RentalOrder(RentalRequest request, double requestedAt) {
     MachineKind kind() {
@@ -64,35 +65,36 @@
     this.term = term;
     this.cluster = cluster;
     this.backoff = backoff;
-    // What the cloud takes in about two seconds: more would only queue here and be outdated by
-    // then.
+    // The number of requests that the cloud accepts in two seconds. Further orders would only wait
+    // here and be outdated when they are sent.
     this.maxInFlight = (int) Math.max(2, 2 * settings.cloudRequestsPerS());
     this.retryDelayS = settings.heartbeatIntervalS() / 3;
   }
 
-  /** The orders in flight, the oldest first. */
+  /** Returns the orders in flight, oldest first. */
   Collection<RentalOrder> inFlight() {
     return Collections.unmodifiableCollection(inFlight.values());
   }
 
-  /** Whether no further order can be placed now. */
+  /** Returns whether the maximum number of orders is in flight, so that no more can be placed. */
   boolean isFull() {
     return inFlight.size() >= maxInFlight;
   }
 
   /**
-   * Orders machines of a kind, in as many orders as the cloud's limit makes necessary. What does
-   * not go out because too many orders are in flight is dropped: the next run plans anew.
+   * Orders machines of a kind, divided into orders of at most {@link
+   * CloudClient#MAX_MACHINES_PER_RENTAL} machines. Machines that cannot be ordered because too many
+   * orders are in flight are dropped, since the next run of scale-out plans again.
    */
   void place(MachineKind kind, int count) {
-    for (int left = count;
-        left > 0 && !isFull() && term.isActive();
-        left -= CloudClient.MAX_MACHINES_PER_RENTAL) {
+    for (int remaining = count;
+        remaining > 0 && !isFull() && term.isActive();
+        remaining -= CloudClient.MAX_MACHINES_PER_RENTAL) {
       RentalRequest request =
           new RentalRequest(
               "r-" + term.number() + "-" + ++lastOrderNumber,
               kind,
-              Math.min(left, CloudClient.MAX_MACHINES_PER_RENTAL));
+              Math.min(remaining, CloudClient.MAX_MACHINES_PER_RENTAL));
       RentalOrder order = new RentalOrder(request, loop.now());
       inFlight.put(request.name(), order);
       send(order);
@@ -106,7 +108,9 @@
   private void onRentalResult(RentalOrder order, RentalResult result) {
     boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
     if (unknown && term.isActive()) {
-      // It may have been carried out: only the same name again tells, and rents nothing twice.
+      // The cloud may have rented out the machines. Only a request under the same name shows
+      // whether
+      // it did, and does not rent machines a second time.
       loop.schedule(retryDelayS, () -> send(order));
       return;
     }
@@ -119,10 +123,11 @@
         backoff.onRefused(request.kind());
       }
       case MALFORMED -> {
-        LOG.error("Rental refused, the cloud calls the request malformed: {}", request);
+        LOG.error("Rental refused, the cloud reports the request as malformed: {}", request);
         backoff.onRefused(request.kind());
       }
-      default -> LOG.debug("Rental order left to the next leader: order={}", request.name());
+      default ->
+          LOG.debug("Rental order abandoned, its outcome is unknown: order={}", request.name());
     }
   }
 
--- a/src/main/java/org/saffronshore/autoscaling/ReturnReason.java
+++ b/src/main/java/org/saffronshore/autoscaling/ReturnReason.java
@@ -1,28 +1,28 @@
 package org.saffronshore.autoscaling;
 
-/** Why a machine is returned to the cloud. */
+/** The reason for which a machine is returned to the cloud. */
 enum ReturnReason {
-  /** The cloud lists it as failed. */
+  /** The cloud lists the machine as failed. */
   FAILED,
 
-  /** Its worker has not come up in several times the usual boot time. */
+  /** The worker has not come up within several times the boot time of the machine type. */
   NEVER_UP,
 
-  /** Its worker's lease has expired. */
+  /** The worker's lease has expired. */
   LOST,
 
-  /** It receives no commands. */
+  /** The worker sends heartbeats but seems to receive no commands. */
   UNRESPONSIVE,
 
-  /** It was drained, and its tasks are elsewhere now. */
+  /** The machine was drained and holds no tasks any more. */
   DRAINED,
 
-  /** It failed too many tasks in a row. */
+  /** Too many tasks in a row failed on the machine. */
   QUARANTINED,
 
-  /** It is empty, and the cloud is about to take it back. */
+  /** The cloud is about to preempt the machine, and it holds no tasks. */
   PREEMPTION_NOTICE,
 
-  /** It has been empty for a while, and is not needed as spare capacity. */
+  /** The machine has been idle for some time and is not needed as spare capacity. */
   IDLE
 }
--- a/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
@@ -12,14 +12,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines that are idle, lost, faulty or about to be taken back, for one term. */
+/**
+ * Returns machines to the cloud that are idle, drained, lost, faulty or about to be preempted, for
+ * the duration of one leader term.
+ */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** A machine that boots for longer than this multiple of the usual time is given up. */
+  /** A boot that takes longer than this multiple of the type's boot time counts as failed. */
   private static final double FAILED_BOOT_FACTOR = 3;
 
-  /** An idle machine is kept for this share of the time that a new one takes to boot. */
+  /** The time for which an idle machine is kept, as a share of the boot time of a new one. */
   private static final double IDLE_BOOT_SHARE = 0.25;
 
   private final EventLoop loop;
@@ -41,7 +44,10 @@
     this.returns = returns;
   }
 
-  /** Returns machines that are not needed any more, on-demand machines first. */
+  /**
+   * Requests the return of machines that are no longer needed, on-demand machines first and at most
+   * as many as one request may name.
+   */
   void returnUnneeded() {
     double now = loop.now();
     List<String> unneeded = new ArrayList<>();
@@ -68,7 +74,7 @@
     }
   }
 
-  /** Empty when the machine is kept. */
+  /** Returns the reason to return a machine to the cloud, or empty if the machine is kept. */
   private Optional<ReturnReason> returnReason(Machine machine, double now, SpareCapacity spare) {
     double bootS = bootTimes.ofTypeS(machine.type());
     if (machine.hasFailed()) {
@@ -102,8 +108,9 @@
     if (machine.hasPreemptionNotice()) {
       return Optional.of(ReturnReason.PREEMPTION_NOTICE);
     }
-    // Without the state service no job can be accepted, and no task launched above the launch
-    // watermark: that machines are idle then says nothing about how many are needed.
+    // While the state service is unavailable, no jobs can be accepted and no tasks launched above
+    // the
+    // launch watermark. Idle machines then do not show that fewer machines are needed.
     boolean idle =
         term.holdsStoreLease()
             && now > machine.idleSince() + IDLE_BOOT_SHARE * bootS
--- a/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
@@ -19,23 +19,25 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * Decides what to rent: machines for tasks that found no place, for tasks that are expected to
- * arrive, and for tasks that occupy machines of a type that others need and the cloud lacks.
+ * Decides which machines to rent: for tasks that could not be placed, for tasks that are expected
+ * to arrive, and for tasks to be displaced because they occupy machines of a scarce type that other
+ * tasks need.
  */
 final class ScaleOut {
-  /** Tasks with a wait objective should wait for at most this share of the boot time. */
+  /** The maximum acceptable wait of tasks with a wait objective, as a share of the boot time. */
   private static final double OBJECTIVE_BOOT_SHARE = 0.5;
 
   /**
-   * There is a backlog when tasks have waited for this multiple of the boot time or of their wait
-   * objective, whichever is longer.
+   * Tasks are backlogged when they have waited for longer than this multiple of the boot time or of
+   * their wait objective, whichever is longer. Tasks without a wait objective never count as
+   * backlogged.
    */
   private static final double BACKLOG_FACTOR = 1.5;
 
-  /** Planning may take this share of the time of the event loop. */
+  /** The maximum share of the event loop's time that planning may take. */
   private static final double MAX_PLANNING_SHARE = 0.1;
 
-  /** What one run starts from: the queue, the machines of each zone, and the time. */
+  /** The input of one run: the unplaced tasks, the number of machines per zone, and the time. */
   private record Demand(
       List<SchedulingPlan.UnplacedTasks> unplaced,
       Map<String, Integer> machinesPerZone,
@@ -69,7 +71,11 @@
   }
 
   /**
-   * Rents what is needed, unless the last run was a moment ago or too many orders are in flight.
+   * Rents machines for unplaced, expected and displaced tasks. Does nothing if no tasks are
+   * unplaced, the minimum interval since the last run has not elapsed, or the maximum number of
+   * orders is in flight.
+   *
+   * @param unplaced the unplaced tasks, in queue order
    */
   void rentFor(List<SchedulingPlan.UnplacedTasks> unplaced) {
     double now = loop.now();
@@ -83,8 +89,8 @@
     placeOrders(late, demand, kind -> true);
     rentForExpectedArrivals(demand);
     rentForDisplacedTasks(late, demand);
-    double tookS = loop.now() - now;
-    nextRunAt = loop.now() + Math.max(minIntervalS, tookS / MAX_PLANNING_SHARE);
+    double planningTimeS = loop.now() - now;
+    nextRunAt = loop.now() + Math.max(minIntervalS, planningTimeS / MAX_PLANNING_SHARE);
   }
 
   private Map<String, Integer> machinesPerZone() {
@@ -100,7 +106,11 @@
     return machinesPerZone;
   }
 
-  /** Orders the cheapest machines for some tasks, of kinds that may be requested. */
+  /**
+   * Orders the cheapest machines for tasks, of kinds that are allowed and not in backoff.
+   *
+   * @param allowed restricts the machine kinds to those that suit the purpose of the order
+   */
   private void placeOrders(
       List<SchedulingPlan.UnplacedTasks> tasks, Demand demand, Predicate<MachineKind> allowed) {
     ScaleOutPlan.orders(
@@ -112,10 +122,11 @@
   }
 
   /**
-   * Rents for the tasks that are expected to arrive during a boot, queued behind those that wait. A
-   * queue that would just be cleared in the time of a boot does not get shorter while tasks keep
-   * arriving. Spot machines only: on-demand machines for tasks that may not arrive cost more than
-   * the waits are worth, unless there is a backlog.
+   * Rents machines for the tasks that are expected to arrive while a machine boots, queued behind
+   * the waiting ones. Without them, a queue that could just be cleared within one boot time would
+   * not get shorter while tasks keep arriving. Only spot machines are rented unless there is a
+   * backlog: on-demand machines for tasks that may not arrive cost more than the avoided waits are
+   * worth.
    */
   private void rentForExpectedArrivals(Demand demand) {
     List<SchedulingPlan.UnplacedTasks> queue = new ArrayList<>(demand.unplaced);
@@ -139,9 +150,9 @@
   }
 
   /**
-   * Whether tasks have waited for much longer than a boot takes and than their objective allows.
-   * Then the queue does not clear, however soon it is forecast to, and spot machines are not
-   * enough.
+   * Returns whether tasks have waited for much longer than the boot time and their wait objective.
+   * The queue then does not clear, no matter how soon the forecast expects it to, and spot machines
+   * are not sufficient.
    */
   private boolean hasBacklog(List<SchedulingPlan.UnplacedTasks> unplaced) {
     return unplaced.stream().anyMatch(tasks -> isBacklogged(tasks.job()));
@@ -156,8 +167,8 @@
   }
 
   /**
-   * Rents other machines for tasks on machines of scarce types that waiting tasks need, where that
-   * costs no more than the scarce machines do.
+   * Rents machines of other types for tasks that occupy machines of scarce types on which waiting
+   * tasks depend, if these machines cost no more per CPU than the scarce ones.
    */
   private void rentForDisplacedTasks(List<SchedulingPlan.UnplacedTasks> late, Demand demand) {
     Map<String, MachineType> types = cluster.machineTypes();
@@ -171,15 +182,16 @@
     if (displaced.isEmpty()) {
       return;
     }
-    // What is free on the other machines now, not what will be released: tasks of the kind that
-    // runs there keep arriving, and take that.
-    List<Forecast.MachineTimeline> others =
+    // Only what is free on the other machines now is counted. What running tasks release will be
+    // taken by tasks like them, which keep arriving.
+    List<Forecast.MachineTimeline> otherTimelines =
         forecast.timelines(false).stream()
             .filter(timeline -> !scarce.contains(timeline.kind().type()))
             .toList();
-    List<SchedulingPlan.UnplacedTasks> withoutPlace =
-        forecast.lateTasks(others, displaced, job -> demand.now + bootTimes.shortestForS(job));
-    placeOrders(withoutPlace, demand, kind -> isAffordableAlternative(kind, types, scarce));
+    List<SchedulingPlan.UnplacedTasks> lateDisplaced =
+        forecast.lateTasks(
+            otherTimelines, displaced, job -> demand.now + bootTimes.shortestForS(job));
+    placeOrders(lateDisplaced, demand, kind -> isAffordableAlternative(kind, types, scarce));
   }
 
   private static boolean isAffordableAlternative(
--- a/src/main/java/org/saffronshore/autoscaling/ScarceTypes.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScarceTypes.java
@@ -7,10 +7,11 @@
 import org.saffronshore.wire.MachineType;
 
 /**
- * Machine types that the cloud has refused in every zone, as spot and as on-demand machines.
+ * The scarce machine types: those that the cloud has refused in every zone, both as spot and as
+ * on-demand machines.
  *
- * @param names their names
- * @param highestPricePerCpu the highest hourly on-demand price of a CPU on them
+ * @param names the names of the types
+ * @param highestPricePerCpu the highest hourly on-demand price per CPU of these types
  */
 record ScarceTypes(Set<String> names, double highestPricePerCpu) {
 
@@ -35,7 +36,12 @@
     return names.contains(typeName);
   }
 
-  /** Whether a CPU on a machine of another type costs no more than one on the scarce machines. */
+  /**
+   * Returns whether a machine of another type costs no more per CPU than an on-demand machine of
+   * the most expensive scarce type.
+   *
+   * @param spot whether to compare the spot price of the other type or its on-demand price
+   */
   boolean isWithinPriceLimit(MachineType other, boolean spot) {
     double pricePerHour = spot ? other.spotPricePerHour() : other.pricePerHour();
     return pricePerHour / other.cpus() <= highestPricePerCpu;
--- a/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -11,22 +11,23 @@
 import org.saffronshore.scheduling.Resources;
 
 /**
- * Capacity that is kept although it is idle: a typical job of each class that still arrives should
- * find room. Valid for one run of scale in.
+ * Idle capacity that is kept so that a typical job of each class whose jobs still arrive finds
+ * enough free resources. Valid for one run of scale-in.
  */
 final class SpareCapacity {
-  /** Room for this many typical jobs of each class is kept. */
+  /** The number of typical jobs of each class for which capacity is kept. */
   private static final double JOBS_PER_CLASS = 1;
 
   private final Map<Machine, Resources> freeByMachine = new HashMap<>();
 
-  /** How many tasks of each expected job fit on all machines together. */
+  /** The number of tasks like those of each expected job that fit on all machines together. */
   private final Map<ExpectedJob, Double> fittingTasks = new LinkedHashMap<>();
 
   /**
-   * Counts what is free on the machines of the cluster.
+   * Counts the free resources on the machines of the cluster.
    *
-   * @param excluded machines that do not count, since they are being returned
+   * @param now the time by the event loop's clock
+   * @param excluded matches machines that are not counted because they are being returned
    */
   SpareCapacity(Cluster cluster, BootTimes bootTimes, double now, Predicate<Machine> excluded) {
     cluster
@@ -50,7 +51,10 @@
         : ArrivalStatistics.fittingTasks(freeOnMachine, expected.task());
   }
 
-  /** Whether a typical job of some class would find no room without this machine. */
+  /**
+   * Returns whether without this machine a typical job of some class would not find enough free
+   * resources.
+   */
   boolean needs(Machine machine) {
     return fittingTasks.entrySet().stream()
         .anyMatch(entry -> needs(machine, entry.getKey(), entry.getValue()));
@@ -61,7 +65,7 @@
     return fitting > 0 && fittingOnAll - fitting < expected.tasks() * JOBS_PER_CLASS;
   }
 
-  /** Stops to count a machine. */
+  /** Removes a machine that is to be returned from the counted capacity. */
   void remove(Machine machine) {
     fittingTasks.replaceAll((expected, sum) -> sum - fittingTasksOn(machine, expected));
     freeByMachine.remove(machine);
--- a/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
+++ b/src/main/java/org/saffronshore/autoscaling/WaitObjectives.java
@@ -5,9 +5,9 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.wire.JobSpec;
 
-/** The users' objectives for how long tasks of a class wait for their start. */
+/** The service level objectives for the time that tasks of a job class wait for their start. */
 final class WaitObjectives {
-  /** What the settings call an objective for the waiting time. */
+  /** The kind of objectives for the waiting time, as in the settings file. */
   private static final String KIND_WAIT = "wait";
 
   private final List<Objective> objectives;
@@ -16,12 +16,15 @@
     this.objectives = settings.objectives();
   }
 
-  /** Whether there is an objective for the job's class. */
+  /** Returns whether there is a wait objective for the job's class. */
   boolean hasObjectiveFor(JobSpec job) {
     return shortestWaitS(job) < Double.POSITIVE_INFINITY;
   }
 
-  /** The shortest wait in seconds that an objective sets for the job's class; infinity for none. */
+  /**
+   * Returns the shortest wait in seconds that a wait objective sets for the job's class; infinity
+   * if there is none.
+   */
   double shortestWaitS(JobSpec job) {
     return objectives.stream()
         .filter(
