--- a/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
+++ b/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
@@ -9,19 +9,22 @@
 import org.saffronshore.leadership.LeaderTerm;
 import org.saffronshore.scheduling.SchedulingPlan;
 
-/** Keeps the rented machines in line with what the tasks need, for one term. */
+/**
+ * Adjusts the number and kinds of rented machines to what the tasks need, for the duration of one
+ * leader term.
+ */
 public final class Autoscaler {
   private final EventLoop loop;
   private final Settings settings;
   private final LeaderTerm term;
   private final Cluster cluster;
-  private final MachineListPoller machineList;
+  private final MachineListPoller machineListPoller;
   private final ScaleOut scaleOut;
   private final ScaleIn scaleIn;
   private final Consolidation consolidation;
   private List<SchedulingPlan.UnplacedTasks> unplaced = List.of();
 
-  /** Builds the loops of a term; they run from {@link #start} on. */
+  /** Creates the autoscaler of a term; it does nothing until {@link #start} is called. */
   public Autoscaler(
       EventLoop loop,
       Settings settings,
@@ -38,27 +41,27 @@
     RentalOrders orders = new RentalOrders(loop, settings, cloud, metrics, term, cluster, backoff);
     MachineReturns returns =
         new MachineReturns(loop, settings, cloud, metrics, term, cluster, backoff);
-    this.machineList = new MachineListPoller(loop, cloud, term, cluster);
+    this.machineListPoller = new MachineListPoller(loop, cloud, term, cluster);
     this.scaleOut = new ScaleOut(loop, settings, cluster, bootTimes, orders, backoff);
     this.scaleIn = new ScaleIn(loop, term, cluster, bootTimes, returns);
     this.consolidation = new Consolidation(loop, cluster);
   }
 
-  /** Starts to poll the cloud's list of machines and to scale. */
+  /** Starts the periodic polling of the cloud's machine list and the periodic scaling. */
   public void start() {
-    machineList.poll();
+    machineListPoller.poll();
     term.repeatWhileActive(
         Math.max(settings.heartbeatIntervalS(), 2 / settings.cloudRequestsPerS()),
-        machineList::poll);
+        machineListPoller::poll);
     term.repeatWhileActive(settings.heartbeatIntervalS() / 3, this::scale);
   }
 
   /**
-   * Rents for the tasks that the last scheduling cycle found no place for.
+   * Called after a scheduling cycle; rents machines for the tasks that the cycle could not place.
    *
-   * @param tasks in the order of the queue
+   * @param tasks the unplaced tasks, in queue order
    */
-  public void tasksUnplaced(List<SchedulingPlan.UnplacedTasks> tasks) {
+  public void onTasksUnplaced(List<SchedulingPlan.UnplacedTasks> tasks) {
     unplaced = tasks;
     scaleOut();
   }
@@ -81,13 +84,14 @@
   }
 
   /**
-   * The machines that an earlier leader rented last are in no list yet: renting for the same tasks
-   * again would be waste.
+   * Returns whether machines may be rented now. A leader other than the first one waits for the lag
+   * of the cloud's machine list: the machines that the previous leader rented last are not listed
+   * before that, and machines would be rented twice for the same tasks.
    */
   private boolean mayRent() {
     return term.isActive()
         && term.hasLoadedRecords()
-        && machineList.isComplete()
+        && machineListPoller.hasReadWholeList()
         && (term.number() == 1 || loop.now() > cluster.startedAt() + settings.cloudListLagS());
   }
 }
--- a/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineReturns.java
@@ -11,7 +11,10 @@
 import org.saffronshore.http.EventLoop;
 import org.saffronshore.leadership.LeaderTerm;
 
-/** The return requests of one term that are in flight; they are repeated until they succeed. */
+/**
+ * The return requests of one term that are in flight. A failed request is repeated until it
+ * succeeds or this controller is no longer the active leader.
+ */
 final class MachineReturns {
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -39,35 +42,40 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 3;
   }
 
-  /** Whether the return of this machine has been requested, and not been answered yet. */
+  /** Returns whether the return of this machine has been requested and has not succeeded yet. */
   boolean isInFlight(Machine machine) {
     return inFlight.contains(machine.id());
   }
 
-  /** Requests the return of machines, {@link CloudClient#MAX_MACHINES_RETURNED} at most. */
+  /**
+   * Requests the return of machines.
+   *
+   * @param machines ids of at most {@link CloudClient#MAX_MACHINES_PER_RETURN} machines
+   */
   void request(List<String> machines) {
     inFlight.addAll(machines);
     send(machines);
   }
 
   private void send(List<String> machines) {
-    cloud.returnMachines(machines, succeeded -> onResult(machines, succeeded));
+    cloud.returnMachines(machines, succeeded -> onReturnResult(machines, succeeded));
   }
 
-  private void onResult(List<String> machines, boolean succeeded) {
+  private void onReturnResult(List<String> machines, boolean succeeded) {
     if (succeeded) {
       inFlight.removeAll(machines);
       metrics.increment(Metrics.Counter.MACHINES_RETURNED, machines.size());
-      machines.forEach(this::onReturned);
+      machines.forEach(this::onMachineReturned);
     } else if (term.isActive()) {
       loop.schedule(retryDelayS, () -> send(machines));
     } else {
-      // A successor may have launched tasks on them since: it decides whether they are returned.
+      // The next leader may have launched tasks on these machines in the meantime, so it decides
+      // whether they are returned.
       inFlight.removeAll(machines);
     }
   }
 
-  private void onReturned(String id) {
+  private void onMachineReturned(String id) {
     Machine machine = cluster.machine(id);
     if (machine != null) {
       backoff.onAvailable(machine.kind());
--- a/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
@@ -12,14 +12,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines that are idle, lost, faulty or about to be taken back, for one term. */
+/**
+ * Returns machines to the cloud that are idle, drained, lost, faulty or about to be preempted, for
+ * the duration of one leader term.
+ */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** A machine that boots for longer than this multiple of the usual time is given up. */
-  private static final double LOST_BOOT_FACTOR = 3;
+  /** A boot that takes longer than this multiple of the type's boot time counts as failed. */
+  private static final double FAILED_BOOT_FACTOR = 3;
 
-  /** An idle machine is kept for this share of the time that a new one takes to boot. */
+  /** The time for which an idle machine is kept, as a share of the boot time of a new one. */
   private static final double IDLE_BOOT_SHARE = 0.25;
 
   private final EventLoop loop;
@@ -41,7 +44,10 @@
     this.returns = returns;
   }
 
-  /** Returns machines that are not needed any more, on-demand machines first. */
+  /**
+   * Requests the return of machines that are no longer needed, on-demand machines first and at most
+   * as many as one request may name.
+   */
   void returnUnneeded() {
     double now = loop.now();
     List<String> unneeded = new ArrayList<>();
@@ -49,13 +55,13 @@
     onDemandFirst.sort(Comparator.comparing(Machine::isSpot));
     SpareCapacity spare = new SpareCapacity(cluster, bootTimes, now, returns::isInFlight);
     for (Machine machine : onDemandFirst) {
-      if (unneeded.size() == CloudClient.MAX_MACHINES_RETURNED) {
+      if (unneeded.size() == CloudClient.MAX_MACHINES_PER_RETURN) {
         break;
       }
       if (returns.isInFlight(machine)) {
         continue;
       }
-      Optional<ReturnReason> reason = reasonToReturn(machine, now, spare);
+      Optional<ReturnReason> reason = returnReason(machine, now, spare);
       if (reason.isPresent()) {
         LOG.debug("Returning machine: machine={} reason={}", machine.id(), reason.get());
         cluster.markReturning(machine);
@@ -68,14 +74,14 @@
     }
   }
 
-  /** Empty when the machine is kept. */
-  private Optional<ReturnReason> reasonToReturn(Machine machine, double now, SpareCapacity spare) {
+  /** Returns the reason to return a machine to the cloud, or empty if the machine is kept. */
+  private Optional<ReturnReason> returnReason(Machine machine, double now, SpareCapacity spare) {
     double bootS = bootTimes.ofTypeS(machine.type());
     if (machine.hasFailed()) {
       return Optional.of(ReturnReason.FAILED);
     }
     if (!machine.wasEverUp()) {
-      boolean bootFailed = now > machine.rentedAt() + LOST_BOOT_FACTOR * bootS;
+      boolean bootFailed = now > machine.rentedAt() + FAILED_BOOT_FACTOR * bootS;
       return bootFailed && machine.isEmpty() && !cluster.isUnreconciled(machine)
           ? Optional.of(ReturnReason.NEVER_UP)
           : Optional.empty();
@@ -87,11 +93,11 @@
       return Optional.of(ReturnReason.UNRESPONSIVE);
     }
     return machine.isEmpty() && machine.isReconciled()
-        ? reasonToReturnEmpty(machine, now, bootS, spare)
+        ? returnReasonIfEmpty(machine, now, bootS, spare)
         : Optional.empty();
   }
 
-  private Optional<ReturnReason> reasonToReturnEmpty(
+  private Optional<ReturnReason> returnReasonIfEmpty(
       Machine machine, double now, double bootS, SpareCapacity spare) {
     if (machine.isDraining()) {
       return Optional.of(ReturnReason.DRAINED);
@@ -102,8 +108,9 @@
     if (machine.hasPreemptionNotice()) {
       return Optional.of(ReturnReason.PREEMPTION_NOTICE);
     }
-    // Without the state service no job can be accepted, and no task launched above the launch
-    // watermark: that machines are idle then says nothing about how many are needed.
+    // While the state service is unavailable, no jobs can be accepted and no tasks launched above
+    // the
+    // launch watermark. Idle machines then do not show that fewer machines are needed.
     boolean idle =
         term.holdsStoreLease()
             && now > machine.idleSince() + IDLE_BOOT_SHARE * bootS
--- a/src/main/java/org/saffronshore/cloud/RentalResult.java
+++ b/src/main/java/org/saffronshore/cloud/RentalResult.java
@@ -8,18 +8,18 @@
 /**
  * The result of a rental request.
  *
- * @param machines ids of the rented machines, fewer than requested where the cloud has no more;
- *     empty unless the outcome is RENTED
+ * @param machines ids of the rented machines, fewer than requested if the cloud has no more; empty
+ *     unless the outcome is {@link Outcome#RENTED}
  */
 public record RentalResult(Outcome outcome, List<String> machines) {
 
-  /** What the cloud did with the request. */
+  /** The outcome of a rental request. */
   public enum Outcome {
     RENTED,
     NO_CAPACITY,
     MALFORMED,
 
-    /** It may have been carried out, and has to be repeated under the same name. */
+    /** The cloud may have rented out machines; the request must be repeated under the same name. */
     UNKNOWN
   }
 
@@ -31,10 +31,10 @@
     if (response.isOk() && body.isPresent()) {
       return new RentalResult(Outcome.RENTED, body.get().machines());
     }
-    return new RentalResult(failure(response.status(), body), List.of());
+    return new RentalResult(failureOutcome(response.status(), body), List.of());
   }
 
-  private static Outcome failure(int status, Optional<RentalResponse> body) {
+  private static Outcome failureOutcome(int status, Optional<RentalResponse> body) {
     if (status == UNAVAILABLE && body.isPresent() && body.get().noCapacity()) {
       return Outcome.NO_CAPACITY;
     }
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -189,6 +189,6 @@
   private void cycleCompleted(SchedulingPlan plan) {
     failover.saveLaunchWatermarks();
     commandSender.sendDue();
-    autoscaler.tasksUnplaced(plan.unplaced());
+    autoscaler.onTasksUnplaced(plan.unplaced());
   }
 }
--- a/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/CapacityBackoffTest.java
@@ -11,7 +11,7 @@
 import org.saffronshore.cluster.Cluster;
 import org.saffronshore.wire.MachineKind;
 
-/** Machines of the type in {@link TestData#TYPES} boot for 40 s. */
+/** Tests the backoff of refused machine kinds; {@link TestData#TYPES} has a boot time of 40 s. */
 class CapacityBackoffTest {
   private static final MachineKind KIND = new MachineKind("big", "a", true);
   private static final MachineKind OTHER_ZONE = new MachineKind("big", "b", true);
@@ -22,22 +22,22 @@
       new CapacityBackoff(loop, new BootTimes(TestData.settings(), cluster));
 
   @BeforeEach
-  void knowTypes() {
+  void setMachineTypes() {
     cluster.machineTypes(TestData.TYPES);
   }
 
   private double backoffAfterRefusalS() {
     backoff.onRefused(KIND);
-    double seconds = 0;
+    double elapsedS = 0;
     while (!backoff.mayRequest(KIND, loop.now())) {
       loop.pass(1);
-      seconds++;
+      elapsedS++;
     }
-    return seconds;
+    return elapsedS;
   }
 
   @Test
-  void kindThatWasNeverRefusedMayBeRequested() {
+  void kindWithoutRefusalMayBeRequested() {
     assertTrue(backoff.mayRequest(KIND, loop.now()));
     assertFalse(backoff.wasRefused(KIND));
   }
@@ -50,20 +50,20 @@
   }
 
   @Test
-  void kindCountsAsRefusedAlsoAfterItsBackoff() {
+  void kindStaysRefusedAfterItsBackoffHasElapsed() {
     backoffAfterRefusalS();
     assertTrue(backoff.wasRefused(KIND));
   }
 
   @Test
-  void refusalDoesNotConcernOtherKinds() {
+  void refusalDoesNotAffectOtherKinds() {
     backoff.onRefused(KIND);
     assertTrue(backoff.mayRequest(OTHER_ZONE, loop.now()));
     assertFalse(backoff.wasRefused(OTHER_ZONE));
   }
 
   @Test
-  void backoffStartsAnewWhenTheCloudHasMachinesOfTheKindAgain() {
+  void backoffIsResetWhenKindBecomesAvailable() {
     backoffAfterRefusalS();
     backoff.onRefused(KIND);
     backoff.onAvailable(KIND);
--- a/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
+++ b/src/test/java/org/saffronshore/autoscaling/WaitObjectivesTest.java
@@ -16,7 +16,10 @@
     return Json.object().put("kind", kind).put("class", jobClass).put("within_s", withinS);
   }
 
-  /** Kind and class of an objective of 60 s beside others; then the shortest wait for "class". */
+  /**
+   * An objective of 60 s with the given kind and class is added between wait objectives of 90 s and
+   * 120 s for "class".
+   */
   @ParameterizedTest
   @CsvSource({
     "wait, class, 60",
@@ -24,8 +27,8 @@
     "wait, , 90",
     "stretch, class, 90",
   })
-  void shortestObjectiveForTheWaitOfTheClassCounts(String kind, String jobClass, double expectedS)
-      throws InvalidFieldException {
+  void shortestWaitIsThatOfTheStrictestWaitObjectiveOfTheClass(
+      String kind, String jobClass, double expectedS) throws InvalidFieldException {
     ObjectNode settings = TestData.settingsJson();
     settings
         .withObject("/cluster")
@@ -40,12 +43,12 @@
 
   @ParameterizedTest
   @CsvSource({"class, true", "other, false"})
-  void classIsCoveredIfAnObjectiveNamesIt(String jobClass, boolean covered)
+  void jobHasObjectiveOnlyIfAnObjectiveNamesItsClass(String jobClass, boolean covered)
       throws InvalidFieldException {
     ObjectNode settings = TestData.settingsJson();
     settings.withObject("/cluster").putArray("objectives").add(objective("wait", jobClass, 90));
     WaitObjectives objectives = new WaitObjectives(Settings.parse(settings));
     assertEquals(
-        covered, objectives.coverClassOf(TestData.job("wk-1", "red", Priority.URGENT, 1, 4)));
+        covered, objectives.hasObjectiveFor(TestData.job("wk-1", "red", Priority.URGENT, 1, 4)));
   }
 }
