--- a/src/test/java/org/saffronshore/compatibility/PeerProtocolTest.java
+++ b/src/test/java/org/saffronshore/compatibility/PeerProtocolTest.java
@@ -337,9 +337,8 @@
   }
 
   /**
-   * In an outage of the state service, a leader keeps leading for a while if its peers grant it
-   * their leases, and for longer if they also report all cancellations. It does not if the state
-   * service serves its peers.
+   * In an outage of the state service, a leader keeps leading for a while if its peers grant their
+   * leases, and longer if they also report all cancellations, but not if that service serves them.
    */
   @ParameterizedTest
   @CsvSource(
