--- a/src/test/java/org/saffronshore/ArchitectureTest.java
+++ b/src/test/java/org/saffronshore/ArchitectureTest.java
@@ -17,12 +17,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which, as docs/architecture.md tells it. */
+/** The dependencies allowed between packages, as described in docs/architecture.md. */
 @AnalyzeClasses(packages = "org.saffronshore", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
   private static final Path SOURCES = Path.of("src/main/java/org/saffronshore");
 
-  /** Names of the protocol that could be taken for ours; their one place is the package wire. */
+  /**
+   * Protocol names that could be mistaken for names of this project. Only the package wire may
+   * contain them.
+   */
   private static final Pattern PROTOCOL_NAME =
       Pattern.compile(
           "\"(Baton|Shift|Tick|Dispatcher|Cadres?|Rigs?|Depots?|Loaner|RecallS|Legs?|Lap|Hire)\"");
@@ -77,7 +80,7 @@
       noClasses()
           .that()
           .resideOutsideOfPackages("org.saffronshore.http..", "org.saffronshore.cli..")
-          // The controller hands the group of the event loop to its two servers.
+          // The controller passes its event loop group to its two servers.
           .and()
           .doNotHaveFullyQualifiedName("org.saffronshore.control.Controller")
           .should()
--- a/src/test/java/org/saffronshore/DocumentationTest.java
+++ b/src/test/java/org/saffronshore/DocumentationTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages name tests as evidence; this keeps the names right when tests are renamed or moved. */
+/**
+ * The pages in docs cite tests as evidence. Every cited test must exist, also after tests are
+ * renamed or moved.
+ */
 class DocumentationTest {
   private static final Path TESTS = Path.of("src/test/java");
   private static final Path PAGES = Path.of("docs");
@@ -29,7 +32,7 @@
       while (named.find()) {
         String source = sources.getOrDefault(named.group(1), "");
         if (!source.contains("void " + named.group(2) + "(")) {
-          missing.add(page + " names " + named.group(1) + "." + named.group(2));
+          missing.add(page + " cites " + named.group(1) + "." + named.group(2));
         }
       }
     }
--- a/src/test/java/org/saffronshore/FakeStateService.java
+++ b/src/test/java/org/saffronshore/FakeStateService.java
@@ -14,12 +14,12 @@
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
-/** A state service in memory, on a manual clock, with the failures that the protocol lists. */
+/** An in-memory state service on a manual clock that can simulate the failures in the protocol. */
 public final class FakeStateService implements Client {
 
   private record Value(JsonNode data, long version, long leaseId) {}
 
-  /** A change of a key; without data it was deleted. */
+  /** A change of a key. The data is null if the key was deleted. */
   private record Change(String key, JsonNode data, long revision) {}
 
   private static final class Lease {
@@ -35,49 +35,52 @@
   public final ManualEventLoop loop;
   public long revision = 1;
 
-  /** Requests that are refused with 503 and not executed. */
+  /** Selects, by method and path, requests that get status 503 and are not executed. */
   public BiPredicate<String, String> unavailableFor = (method, path) -> false;
 
-  /** Whether no request reaches the service, and none gets a response. */
+  /** Whether every request is lost: none is executed, and each one times out. */
   public boolean unreachable;
 
-  /** Requests that are executed although their response is lost. */
+  /** Selects requests that are executed but whose response is lost, so that they time out. */
   public BiPredicate<String, String> responseLost = (method, path) -> false;
 
   /**
-   * Requests that are executed only when {@link #executeDelayedRequests} is called, long after
-   * their time limit.
+   * Selects requests that time out and are executed only when {@link #executeDelayedRequests} is
+   * called.
    */
   public BiPredicate<String, String> executionDelayed = (method, path) -> false;
 
-  /** Method and path of every request, in their order. */
+  /** The method and path of every request, in the order of arrival. */
   public final List<String> requestLog = new ArrayList<>();
 
-  /** The length of the longest transaction, in bytes. */
+  /** The size of the largest transaction received, in bytes. */
   public int longestTransactionBytes;
 
-  /** The most writes in a transaction. */
+  /** The largest number of writes received in one transaction. */
   public int mostTransactionWrites;
 
-  /** The length of the longest value, in bytes. */
+  /** The length of the longest value received, in characters of its JSON form. */
   public int longestValueBytes;
 
-  /** Whether a conflict names only the first key whose condition did not hold. */
+  /** Whether the response to a conflict names only the first key whose condition failed. */
   public boolean reportsOnlyFirstConflict;
 
-  /** How many transactions were beyond a limit, or had an empty list of writes. */
+  /**
+   * The number of transactions rejected because they exceeded a limit or had an empty list of
+   * writes.
+   */
   public int invalidTransactions;
 
-  /** The most writes in a transaction; beyond them the status is 400. */
+  /** The largest accepted number of writes in a transaction; larger transactions get status 400. */
   public int txnOpsLimit = Integer.MAX_VALUE;
 
-  /** The most bytes in a value; beyond them the status is 400. */
+  /** The largest accepted length of a value; a transaction with a longer one gets status 400. */
   public int valueBytesLimit = Integer.MAX_VALUE;
 
-  /** The most writes per second; beyond them the status is 429. */
+  /** The largest accepted number of writes per second; transactions beyond it get status 429. */
   public double writeRpsLimit = Double.POSITIVE_INFINITY;
 
-  /** Writes of the last second, by a leaky bucket. */
+  /** The level of the leaky bucket that limits writes, as of {@link #lastWriteAt}. */
   private double recentWrites;
 
   private double lastWriteAt;
@@ -118,21 +121,28 @@
     }
   }
 
-  /** After an outage every lease lasts for its full duration once more. */
+  /**
+   * Extends every lease, after an outage, by the outage and one full lease duration.
+   *
+   * @param outageS the duration of the outage, in seconds
+   */
   public void extendLeasesAfterOutage(double outageS) {
     leases.values().forEach(lease -> lease.expiresAt += outageS + lease.durationS);
   }
 
+  /** Executes the requests that {@link #executionDelayed} selected; their responses are dropped. */
   public void executeDelayedRequests() {
     delayedRequests.forEach(Runnable::run);
     delayedRequests.clear();
   }
 
+  /** Returns the value of a key, or null if there is none. */
   public JsonNode value(String key) {
     expireLeases();
     return values.containsKey(key) ? values.get(key).data : null;
   }
 
+  /** Returns the revision at which a key was last written, or 0 if it does not exist. */
   public long version(String key) {
     return values.containsKey(key) ? values.get(key).version : 0;
   }
@@ -232,7 +242,7 @@
     return response(200, found);
   }
 
-  /** Renews or ends a lease. */
+  /** Renews a lease, or revokes it together with its keys. */
   private Response renewOrRevokeLease(String method, long leaseId) {
     Lease lease = leases.get(leaseId);
     if (lease == null) {
--- a/src/test/java/org/saffronshore/JobBuilder.java
+++ b/src/test/java/org/saffronshore/JobBuilder.java
@@ -40,7 +40,7 @@
     return new JobBuilder(id, team, priority);
   }
 
-  /** Starts with all that another job has. */
+  /** Returns a builder that starts with the properties of another job. */
   public static JobBuilder copyOf(JobSpec job) {
     JobBuilder builder = new JobBuilder(job.id(), job.team(), job.priority());
     builder.jobClass = job.jobClass();
@@ -73,13 +73,13 @@
     return this;
   }
 
-  /** Requires a zone; null for any. */
+  /** Sets the required zone; null allows any zone. */
   public JobBuilder zone(String name) {
     this.zone = name;
     return this;
   }
 
-  /** Constrains the zones of the job's tasks by one another. */
+  /** Sets whether all tasks must run in one zone, and whether they must be spread across zones. */
   public JobBuilder zoneConstraints(boolean inSingleZone, boolean inSpreadZones) {
     this.singleZone = inSingleZone;
     this.spread = inSpreadZones;
@@ -96,7 +96,7 @@
     return this;
   }
 
-  /** Saves checkpoints; none if the interval is 0. */
+  /** Sets the checkpoint interval and duration; an interval of 0 means no checkpoints. */
   public JobBuilder checkpoints(double intervalS, double durationS) {
     this.checkpointIntervalS = intervalS;
     this.checkpointDurationS = durationS;
@@ -108,7 +108,7 @@
     return this;
   }
 
-  /** The job as set up. */
+  /** Returns the job. */
   public JobSpec build() {
     return new JobSpec(
         id,
--- a/src/test/java/org/saffronshore/ManualEventLoop.java
+++ b/src/test/java/org/saffronshore/ManualEventLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.saffronshore.http.EventLoop;
 
-/** A loop whose clock the test moves. */
+/** An event loop whose clock is advanced by the test. */
 public final class ManualEventLoop implements EventLoop {
 
   private static final class Entry {
@@ -22,7 +22,8 @@
 
   private final PriorityQueue<Entry> entries =
       new PriorityQueue<>(
-          Comparator.comparingDouble((Entry e) -> e.dueAt).thenComparingLong(e -> e.order));
+          Comparator.comparingDouble((Entry entry) -> entry.dueAt)
+              .thenComparingLong(entry -> entry.order));
   private double now = 1000;
   private long nextOrder;
 
@@ -43,12 +44,15 @@
     return () -> entry.cancelled = true;
   }
 
-  /** The process stands still while its clock runs on: what becomes due meanwhile runs late. */
+  /**
+   * Advances the clock without running any timer, like a paused process: timers that become due in
+   * the meantime run late.
+   */
   public void pauseProcess(double seconds) {
     now += seconds;
   }
 
-  /** Moves the clock, running what becomes due on the way. */
+  /** Advances the clock, running each timer at the time at which it becomes due. */
   public void advance(double seconds) {
     double until = now + seconds;
     while (!entries.isEmpty() && entries.peek().dueAt <= until) {
--- a/src/test/java/org/saffronshore/TestData.java
+++ b/src/test/java/org/saffronshore/TestData.java
@@ -14,14 +14,14 @@
 import org.saffronshore.wire.Priority;
 import org.saffronshore.wire.TaskId;
 
-/** Examples that the tests have in common. */
+/** Sample data shared by the tests. */
 public final class TestData {
   public static final double LEASE_S = 20;
   public static final double LIST_LAG_S = 4;
 
   private TestData() {}
 
-  /** A settings file of three controllers, as a tree that a test may change. */
+  /** Returns a settings file for three controllers, as a tree that the test may modify. */
   public static ObjectNode settingsJson() {
     return (ObjectNode)
         Json.parse(
@@ -37,7 +37,7 @@
                 .getBytes(UTF_8));
   }
 
-  /** The same, read. */
+  /** Returns the settings parsed from {@link #settingsJson}. */
   public static Settings settings() {
     try {
       return Settings.parse(settingsJson());
@@ -46,7 +46,7 @@
     }
   }
 
-  /** A job that needs no other and may run anywhere. */
+  /** Returns a job without dependencies and without placement constraints. */
   public static JobSpec job(String id, String team, Priority priority, int tasks, double cpus) {
     return JobBuilder.job(id, team, priority).tasks(tasks).cpus(cpus).build();
   }
--- a/src/test/java/org/saffronshore/control/ChainedJobsTest.java
+++ b/src/test/java/org/saffronshore/control/ChainedJobsTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.saffronshore.TestData;
 import org.saffronshore.http.Request;
 import org.saffronshore.wire.InvalidFieldException;
@@ -18,7 +19,7 @@
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
-/** Jobs with dependencies, from the submission to the last outcome. */
+/** Jobs with dependencies, from their submission to the last outcome. */
 class ChainedJobsTest extends ControllerTestBase {
   private void submitChain() {
     submit(job("wk-1", 2));
@@ -31,8 +32,8 @@
   }
 
   /**
-   * Each waits for its dependencies, also when the leader changes between an outcome and the next
-   * start.
+   * Each job waits for its dependencies, also if the leader changes between the outcome of a
+   * dependency and the start of the dependent job.
    */
   @ParameterizedTest
   @CsvSource({"1000", "10", "26", "31", "52"})
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Dependent jobs of a cancelled job show as cancelled at once; their own outcomes are written
-   * later, and none of them starts.
+   * Jobs that depend on a cancelled job are reported as cancelled at once. Their own outcomes are
+   * written later, and none of them starts.
    */
   @Test
   void cancellationExtendsToAllDependentJobs() {
@@ -75,7 +76,7 @@
                 "POST", "/work", job("wk-4", 1).withDependencies(List.of("wk-3")).toJson(), 201)
             .get("Status")
             .asText(),
-        "accepted all the same");
+        "a job that depends on a cancelled job is accepted");
     loop.advance(10);
     for (int n = 1; n <= 4; n++) {
       assertEquals("aborted", state.value("f/wk-" + n).get("State").asText());
@@ -84,16 +85,22 @@
     assertEquals(List.of("wk-1/0", "wk-1/1"), startedTasks);
   }
 
+  /** What happens to the transaction that commits the outcome of a job. */
+  private enum CommitFault {
+    RESPONSE_LOST,
+    EXECUTION_DELAYED
+  }
   /**
-   * The outcome of a job was written, but the response lost, or the write carried out late:
-   * dependent jobs wait for the state service.
+   * The transaction with the outcome of a job times out: its response is lost, or it is executed
+   * late. Dependent jobs must not start before the outcome is known to be committed.
    */
+
   @ParameterizedTest
-  @CsvSource({"lost", "late"})
-  void dependentJobWaitsUntilTheOutcomeIsKnownToBeCommitted(String fault) {
+  @EnumSource
+  void dependentJobWaitsUntilTheOutcomeIsKnownToBeCommitted(CommitFault fault) {
     submitChain();
     loop.advance(20);
-    if (fault.equals("lost")) {
+    if (fault == CommitFault.RESPONSE_LOST) {
       state.responseLost = (method, path) -> path.equals("/commit");
     } else {
       state.executionDelayed = (method, path) -> path.equals("/commit");
@@ -102,8 +109,8 @@
     assertEquals(2, completedTasks.size());
     state.responseLost = (method, path) -> false;
     state.executionDelayed = (method, path) -> false;
-    assertEquals(fault.equals("late"), state.value("f/wk-1") == null);
-    assertTrue(fault.equals("lost") || startedTasksOf("wk-2").isEmpty());
+    assertEquals(fault == CommitFault.EXECUTION_DELAYED, state.value("f/wk-1") == null);
+    assertTrue(fault == CommitFault.RESPONSE_LOST || startedTasksOf("wk-2").isEmpty());
     state.executeDelayedRequests();
     loop.advance(100);
     assertEquals("done", status("wk-3"));
@@ -134,7 +141,10 @@
     process.request("POST", "/work", body, expectedStatus);
   }
 
-  /** The number is limited by the length of a stored value, under the upcoming limits as well. */
+  /**
+   * The number of dependencies is limited by the maximum length of a stored value, under the
+   * current and the upcoming limits.
+   */
   @ParameterizedTest
   @CsvSource({"16, 16, 1500, 1900", "16, 2, 150, 300", "2, 16, 150, 300"})
   void numberOfDependenciesIsLimitedByTheValueLength(
@@ -161,8 +171,8 @@
   }
 
   /**
-   * A repeated submission returns the status of the accepted job, whatever dependencies it names by
-   * then, also those with which it could not be accepted.
+   * A repeated submission returns the status of the accepted job, even if it names other
+   * dependencies, including ones with which the job would be rejected.
    */
   @Test
   void repeatedSubmissionReturnsTheStatusWhateverDependenciesItNames() {
@@ -184,8 +194,8 @@
   }
 
   /**
-   * Without the state service it is unknown whether the dependencies were accepted: users are told
-   * at once to try again later.
+   * Without the state service it is unknown whether the dependencies exist. The submission is
+   * refused at once with status 503 and a time after which to retry.
    */
   @Test
   void submissionIsUnavailableAtOnceWhenDependenciesCannotBeRead() {
@@ -218,8 +228,8 @@
   }
 
   /**
-   * Red may use 64 CPUs: one job that waits for another one, and one that does not, request all of
-   * them.
+   * Team red has a quota of 64 CPUs. A job that waits for a dependency and a job without
+   * dependencies each request all of them.
    */
   @Test
   void jobThatWaitsForDependenciesDoesNotCountAgainstTheQuota() {
@@ -245,8 +255,8 @@
   }
 
   /**
-   * The waiting time of a job starts with the last outcome of its dependencies, which the next
-   * leader reads; its record stays as it was.
+   * The waiting time of a job starts with the last outcome among its dependencies, which the next
+   * leader reads. The stored record of the job does not change.
    */
   @Test
   void waitingTimeCountsFromTheLastOutcomeAcrossLeaders() throws InvalidFieldException {
--- a/src/test/java/org/saffronshore/control/ClusterSimulation.java
+++ b/src/test/java/org/saffronshore/control/ClusterSimulation.java
@@ -24,30 +24,34 @@
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
-/** Whole controllers on a manual clock, with fakes of everything around them. */
+/**
+ * Runs complete controllers on a manual clock, with fakes of the state service, cloud and workers.
+ */
 abstract class ClusterSimulation {
   static final double DEFAULT_RUNTIME_S = 20;
 
   double runtimeS = DEFAULT_RUNTIME_S;
 
-  /** Workers send a heartbeat once in this time. */
+  /** The interval at which workers send heartbeats, in seconds. */
   double heartbeatIntervalS = 1;
 
-  /** Whether runtimes are random, around {@link #runtimeS}. */
+  /** Whether task runtimes are random, between 0 and twice {@link #runtimeS}. */
   boolean randomRuntimes;
 
   final ManualEventLoop loop = new ManualEventLoop();
   final FakeStateService state = new FakeStateService(loop);
   final Map<Address, FakeWorker> workers = new LinkedHashMap<>();
+
+  /** Tasks in the order in which workers started them; a task that is started again is repeated. */
   final List<String> startedTasks = new ArrayList<>();
 
-  /** Tasks that have completed, on whichever machine. */
+  /** Tasks that have completed on any machine. */
   final Set<String> completedTasks = new LinkedHashSet<>();
 
-  /** The latest process of each controller. */
+  /** The latest process of each controller, by node name. */
   final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
 
-  /** The controller that a test sends its requests to. */
+  /** The controller process to which a test sends its requests. */
   ControllerProcess process;
 
   boolean cloudUnavailable;
@@ -56,18 +60,18 @@
   int maxMachines = Integer.MAX_VALUE;
   final Random random = new Random(1);
 
-  /**
-   * Shares of what is sent: commands that arrive late, transactions carried out late, heartbeats
-   * that arrive once more.
-   */
+  /** The fraction of the commands to workers that arrive late. */
   double delayedCommandShare;
 
+  /** The fraction of the transactions that time out and are executed late. */
   double delayedCommitShare;
+
+  /** The fraction of the heartbeats of which a duplicate arrives late. */
   double duplicatedHeartbeatShare;
 
   /**
-   * A zone whose machines reach only this controller, which reaches nothing outside of it; null for
-   * none.
+   * A network-partitioned zone, or null: its machines reach only {@link #controllerInIsolatedZone},
+   * which reaches no other machine.
    */
   String isolatedZone;
 
@@ -75,26 +79,29 @@
   private int machineCount;
   private int processCount;
 
-  boolean isPartitioned(ControllerProcess node, FakeWorker worker) {
+  /** Returns whether the partition separates a controller from a worker. */
+  boolean isPartitioned(ControllerProcess controller, FakeWorker worker) {
     return isolatedZone != null
-        && (node == controllerInIsolatedZone)
+        && (controller == controllerInIsolatedZone)
             != isolatedZone.equals(worker.heartbeat.get("Depot").asText());
   }
 
-  /** A task has come onto a machine. */
+  /** Called when a worker has started a task. */
   void onTaskStarted(FakeWorker worker, String task) {}
 
-  /** One process of a controller: once dead, it neither receives nor sends anything. */
+  /** One process of a controller. Once it has crashed, it neither receives nor sends anything. */
   final class ControllerProcess implements Client {
     final Controller controller;
     final String name;
     boolean crashed;
 
-    /** Whether the state service refuses this one. */
+    /** Whether the state service refuses this controller's requests with status 503. */
     boolean refusedByStateService;
 
     boolean peersUnreachable;
     boolean workersUnreachable;
+
+    /** How long this process is paused right after it sends its next command, in seconds. */
     double pauseAfterNextCommandS;
 
     ControllerProcess(String name) throws InvalidFieldException {
@@ -112,7 +119,7 @@
       if (!withPeers) {
         json.putArray("peers");
       } else {
-        // Samples name the peers of n-0; the others take its place among their own.
+        // The sample settings list the peers of n-0; each node needs a list without itself.
         ArrayNode peers = json.putArray("peers");
         for (int i = 0; i < 3; i++) {
           if (!name.equals("n-" + i)) {
@@ -179,7 +186,7 @@
         double timeoutS,
         Response.Callback receiver) {
       if (path.startsWith("/changes")) {
-        // A watch that is open waits while this controller is refused, as it does in an outage.
+        // An open watch gets no response while this controller is refused, as in an outage.
         state.send(
             to,
             method,
@@ -267,6 +274,7 @@
           });
     }
 
+    /** Sends a user's request, asserts the status of the response and returns its body. */
     JsonNode request(String method, String path, JsonNode body, int status) {
       List<JsonNode> responses = new ArrayList<>();
       controller.handle(
@@ -283,7 +291,9 @@
     }
   }
 
-  /** Hands on a response, or that it was lost when none came in time. */
+  /**
+   * Passes on the first response, or {@link Response#LOST} if there is none within the time limit.
+   */
   final class SingleResponse {
     private boolean delivered;
     private final Response.Callback receiver;
@@ -301,7 +311,7 @@
     }
   }
 
-  /** One more machine, as if rented by itself. */
+  /** Adds a machine that no controller has ordered. */
   FakeWorker addMachine(String zone) {
     String host = "10.1." + machineCount / 250 + "." + machineCount % 250;
     FakeWorker worker = new FakeWorker(this, "host-" + machineCount++, host + ":9000", zone);
@@ -309,7 +319,7 @@
     return worker;
   }
 
-  /** The machine and everything on it is gone. */
+  /** Removes a machine and the tasks on it. */
   void removeMachine(FakeWorker worker) {
     worker.removed = true;
     workers.values().remove(worker);
--- a/src/test/java/org/saffronshore/control/ControllerTest.java
+++ b/src/test/java/org/saffronshore/control/ControllerTest.java
@@ -13,7 +13,10 @@
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Priority;
 
-/** What a controller does for users and workers, from a submission to the end. */
+/**
+ * A controller's handling of jobs, from their submission to their outcome, and its responses to
+ * users.
+ */
 class ControllerTest extends ControllerTestBase {
   @Test
   void submittedJobRunsUntilItIsDone() {
@@ -22,7 +25,7 @@
         process.request("POST", "/work", job("wk-1", 4).toJson(), 201).get("Status").asText());
     process.request("POST", "/work", job("wk-1", 4).toJson(), 200);
     loop.advance(10);
-    assertEquals(2, workers.size(), "two machines hold four tasks");
+    assertEquals(2, workers.size(), "four tasks need two machines");
     assertEquals("running", status("wk-1"));
     loop.advance(DEFAULT_RUNTIME_S);
     assertEquals("done", status("wk-1"));
@@ -33,8 +36,8 @@
   }
 
   /**
-   * Between two commands of one cycle the leader is paused until its lease has expired: the second
-   * command is not sent.
+   * The leader's process is paused between two commands of one scheduling cycle until its lease has
+   * expired. The second command must not be sent.
    */
   @Test
   void pausedLeaderSendsNoFurtherCommandWhenItsLeaseHasExpired() throws InvalidFieldException {
@@ -48,7 +51,8 @@
     assertEquals("done", status("wk-1"));
     assertEquals(2, workers.size());
     startedTasks.clear();
-    // Longer than its lease lives, and too short for the machines to count as silent.
+    // Longer than the leader's lease lasts, and too short for the machines to count as
+    // unresponsive.
     process.pauseAfterNextCommandS = TestData.LEASE_S / 10 + 0.1;
     process.request("POST", "/work", job("wk-2", 4).toJson(), 201);
     loop.advance(0.1);
@@ -56,9 +60,9 @@
     assertEquals(
         2,
         startedTasks.size(),
-        "the tasks of the machine that got its command before the pause, and none of the other");
+        "only the machine that received its command before the pause starts its tasks");
     loop.advance(DEFAULT_RUNTIME_S * 3);
-    assertEquals("done", status("wk-2"), "it leads again, in another term");
+    assertEquals("done", status("wk-2"), "the controller leads again, in another term");
   }
 
   @Test
@@ -75,9 +79,9 @@
   }
 
   /**
-   * Half as many machines again as the largest deployment has: every task is placed, nothing that
-   * is stored is longer than the state service takes, commands in flight stay within the sockets,
-   * and the next leader reads all of it.
+   * With 1.5 times as many machines as the largest deployment has, every task is placed, stored
+   * values and transactions stay within the limits of the state service, commands in flight stay
+   * within the socket limit, and the next leader reads all records.
    */
   @Test
   void clusterOfOneAndAHalfTimesTheLargestSizeIsManagedWithinAllLimits()
@@ -109,19 +113,18 @@
     for (int i = 0; i < jobs; i++) {
       assertEquals("done", status("wk-" + i));
     }
-    assertEquals(2 * machines, startedTasks.size(), "none was started twice");
+    assertEquals(2 * machines, startedTasks.size(), "no task may be started twice");
     assertTrue(
         state.longestTransactionBytes < 64 * 1024,
         "a transaction of " + state.longestTransactionBytes + " bytes");
     assertTrue(
         state.longestValueBytes <= 16 * 1024, "a value of " + state.longestValueBytes + " bytes");
     assertTrue(
-        state.mostTransactionWrites <= 8,
-        state.mostTransactionWrites + " changes in a transaction");
+        state.mostTransactionWrites <= 8, state.mostTransactionWrites + " writes in a transaction");
     assertTrue(maxCommandsInFlight <= 1500 / 8, maxCommandsInFlight + " commands in flight");
   }
 
-  /** The next leader starts neither running nor finished tasks again. */
+  /** The next leader does not start running or finished tasks again. */
   @Test
   void failoverStartsNoTaskTwice() throws InvalidFieldException {
     process.request("POST", "/work", job("wk-1", 4).toJson(), 201);
@@ -138,7 +141,7 @@
   }
 
   /**
-   * Finished tasks are stored, also when the machine on which they finished was lost before the
+   * Finished tasks are stored, so they are not run again even if their machine is lost before the
    * failover.
    */
   @Test
@@ -191,8 +194,8 @@
   }
 
   /**
-   * What the state service cannot store is rejected alone, and not with all submissions that share
-   * its transaction.
+   * A job that the state service cannot store is rejected by itself. Otherwise the state service
+   * would reject all submissions in the same transaction.
    */
   @Test
   void jobThatIsTooLongToBeStoredIsRejectedAsMalformed() {
@@ -214,8 +217,8 @@
   }
 
   /**
-   * Controllers that are restarted while the cloud's API is unavailable continue with the machines
-   * that are rented.
+   * A controller that is restarted while the cloud's API is unavailable continues with the rented
+   * machines.
    */
   @Test
   void machineTypesAreKnownWhenAControllerStartsWithoutTheCloud() throws InvalidFieldException {
@@ -232,8 +235,8 @@
   }
 
   /**
-   * While the state service is unavailable nothing new can be launched, so machines are idle that
-   * will be needed again; afterwards they are returned as usual.
+   * While the state service is unavailable no task can be launched, so machines become idle
+   * although they will be needed again. They are kept, and are returned as usual after the outage.
    */
   @Test
   void idleMachinesAreKeptWhileTheStateServiceIsUnavailable() {
--- a/src/test/java/org/saffronshore/control/ControllerTestBase.java
+++ b/src/test/java/org/saffronshore/control/ControllerTestBase.java
@@ -6,7 +6,7 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** One whole controller, with fakes of everything around it. */
+/** Tests of a single complete controller, with fakes of the state service, cloud and workers. */
 abstract class ControllerTestBase extends ClusterSimulation {
   @BeforeEach
   void startController() throws InvalidFieldException {
--- a/src/test/java/org/saffronshore/control/FakeWorker.java
+++ b/src/test/java/org/saffronshore/control/FakeWorker.java
@@ -13,9 +13,9 @@
 import org.saffronshore.http.Response;
 import org.saffronshore.wire.Json;
 
-/** A machine's worker as the protocol describes it, with the faults that machines may have. */
+/** A worker that implements the worker protocol and can simulate the faults of a machine. */
 final class FakeWorker {
-  /** A worker gives up on a response after this time. */
+  /** How long a worker waits for the response to a heartbeat before it tries another controller. */
   private static final double RESPONSE_TIMEOUT_S = 4;
 
   private final ClusterSimulation simulation;
@@ -27,16 +27,19 @@
   long sequence;
   long fencingToken;
 
-  /** Whether its commands and the responses to its heartbeats are lost. */
+  /** Whether commands to this worker and the responses to its heartbeats are lost. */
   boolean inboundMessagesLost;
 
-  /** Whether it reaches no controller. */
+  /** Whether this worker's heartbeats are lost. */
   boolean heartbeatsLost;
 
+  /** Whether the machine was lost or returned. */
   boolean removed;
+
+  /** Until when the machine hangs: in the meantime it sends nothing and handles nothing. */
   double hangsUntil;
 
-  /** When the last heartbeat that got a response was sent, or the epoch began. */
+  /** When the latest acknowledged heartbeat was sent, or when the epoch began. */
   private double leaseRenewedAt;
 
   private String controllerName;
@@ -68,7 +71,7 @@
     return heartbeat;
   }
 
-  /** Runs an action at once, or when the machine goes on. */
+  /** Runs an action at once, or as soon as the machine no longer hangs. */
   void runWhenResponsive(Runnable action) {
     if (loop.now() < hangsUntil) {
       loop.schedule(hangsUntil - loop.now(), () -> runWhenResponsive(action));
@@ -101,10 +104,10 @@
     byte[] body = Json.bytes(heartbeat());
     nextHeartbeatAt = Math.max(nextHeartbeatAt, sentAt + simulation.heartbeatIntervalS);
     boolean[] responded = new boolean[1];
-    ClusterSimulation.ControllerProcess controller = simulation.processes.get(controllerName);
-    if (canReach(controller)) {
-      sendHeartbeatTo(controller, body, responded);
-    } else if (controller == null || controller.crashed) {
+    ClusterSimulation.ControllerProcess process = simulation.processes.get(controllerName);
+    if (canReach(process)) {
+      sendHeartbeatTo(process, body, responded);
+    } else if (process == null || process.crashed) {
       responded[0] = true;
       tryNextController(1);
     }
@@ -118,27 +121,27 @@
         });
   }
 
-  private boolean canReach(ClusterSimulation.ControllerProcess controller) {
-    return controller != null
-        && !controller.crashed
+  private boolean canReach(ClusterSimulation.ControllerProcess process) {
+    return process != null
+        && !process.crashed
         && !heartbeatsLost
-        && !controller.workersUnreachable
-        && !simulation.isPartitioned(controller, this);
+        && !process.workersUnreachable
+        && !simulation.isPartitioned(process, this);
   }
 
   private void sendHeartbeatTo(
-      ClusterSimulation.ControllerProcess controller, byte[] body, boolean[] responded) {
+      ClusterSimulation.ControllerProcess process, byte[] body, boolean[] responded) {
     double sentAt = loop.now();
     long sentInEpoch = epoch;
-    controller.controller.handle(
+    process.controller.handle(
         new Request("POST", "/v1/report", body),
         (status, type, bytes, retryAfterS) ->
             runWhenResponsive(
                 () -> {
                   boolean received =
                       !inboundMessagesLost
-                          && !controller.workersUnreachable
-                          && !simulation.isPartitioned(controller, this);
+                          && !process.workersUnreachable
+                          && !simulation.isPartitioned(process, this);
                   if (!responded[0] && received && loop.now() < sentAt + RESPONSE_TIMEOUT_S) {
                     responded[0] = true;
                     handleResponse(status, Json.parse(bytes), sentAt, sentInEpoch);
@@ -148,7 +151,7 @@
       loop.schedule(
           2 + 1.5 * TestData.LEASE_S * simulation.random.nextDouble(),
           () -> {
-            ClusterSimulation.ControllerProcess latest = simulation.processes.get(controller.name);
+            ClusterSimulation.ControllerProcess latest = simulation.processes.get(process.name);
             if (!latest.crashed) {
               latest.controller.handle(
                   new Request("POST", "/v1/report", body),
@@ -199,7 +202,7 @@
   }
 
   @SuppressWarnings(
-      "ReferenceEquality") // Whether it is still this entry, and not one that is equal.
+      "ReferenceEquality") // The entry must be this one, not an equal entry of a later launch.
   private void launch(String key, JsonNode command) {
     if (!tasks.containsKey(key)) {
       String task = command.get("Leg").asText();
@@ -239,7 +242,7 @@
     }
   }
 
-  /** The tasks that are on the machine, ended ones not counted. */
+  /** Returns the tasks on the machine that have not ended. */
   List<String> activeTasks() {
     return tasks.values().stream()
         .filter(task -> !task.has("Cause"))
--- a/src/test/java/org/saffronshore/control/InteractingFaultsTest.java
+++ b/src/test/java/org/saffronshore/control/InteractingFaultsTest.java
@@ -11,14 +11,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Scripts of faults that overlap, one for each that users named; see docs/interacting-faults.md.
+ * Scripts of overlapping faults, one for each combination that users reported; see
+ * docs/interacting-faults.md.
  */
 class InteractingFaultsTest extends RuleCheckingSimulation {
   /**
-   * The state service refuses the leader alone, another controller confirms a cancellation, then
-   * the service is away for all for longer than a cancellation may take, and workers keep sending
-   * heartbeats. The cancelled tasks end; the others continue, since every controller reports what
-   * it confirmed.
+   * The state service refuses only the leader while another controller confirms a cancellation.
+   * Then the service is unavailable to every controller for longer than the cancellation deadline,
+   * and workers keep sending heartbeats. The cancelled tasks must end. If the peers respond, the
+   * other tasks continue, since every controller reports the cancellations that it confirmed.
    */
   @ParameterizedTest
   @CsvSource({"false, true", "true, false"})
@@ -50,13 +51,13 @@
     assertEquals(
         term,
         leader().controller.leadership().term(),
-        "an outage that all share is no reason to step down");
+        "the leader must not step down in an outage that affects every controller");
   }
 
   /**
-   * Nobody leads for a while, and cancellations are confirmed meanwhile; a new leader has its key,
-   * but the service is away before it has read the jobs. It knows of no cancellation, however fresh
-   * its key is, and keeps nothing alive.
+   * Cancellations are confirmed while there is no leader. A new leader claims the leader key, but
+   * the state service becomes unavailable before it has read the open jobs. It knows of no
+   * cancellation, however recently it renewed its key, and must not extend the lease of any task.
    */
   @Test
   void leaderThatHasNotReadTheOpenJobsExtendsNoTaskLease() {
@@ -65,13 +66,13 @@
     advanceAndCheckRules(20);
     assertEquals(2, activeTaskCount(job));
     leader().crashed = true;
-    // Nobody can lead: the key cannot be claimed.
+    // No controller can become leader, since no lease for the leader key can be created.
     state.unavailableFor = (method, path) -> path.equals("/holds");
     advanceAndCheckRules(3);
     cancel(follower(), job);
     advanceAndCheckRules(10);
     assertEquals("aborted", job.finalStatus);
-    // The next one claims its key, and then the service is away but for its leases.
+    // A new leader claims its key, but listings of the stored records are refused.
     state.unavailableFor = (method, path) -> method.equals("GET") && path.startsWith("/kv?");
     advanceAndCheckRules(8);
     assertNotNull(leader());
@@ -84,42 +85,72 @@
   }
 
   /**
-   * A script of faults and requests, in seconds from a moment at which three jobs run. The rules
-   * hold throughout, and once it is over every job ends.
+   * Runs a script of faults and user requests. Each step has its time, in seconds after a moment at
+   * which three jobs run. The rules must hold throughout, and every job must end after the faults.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
       value = {
-        "ends far apart            | 0 short, 6 kill leader, 9 back, 15 kill leader, 21 back, 30 kill leader, 31 back",
-        "held up commands          | 0 late, 0 submit, 1 hang 12, 3 cancel 2, 8 submit, 10 hang 9, 30 heal",
-        "meets the last task's end | 0 short, 2 cancel 1, 2.1 poll, 4 cancel 2, 5 submit, 6 cancel 3, 6 repeat, 9 repeat",
-        "old reports               | 0 copies, 0 short, 5 kill leader, 6 back, 20 hang 25, 30 submit, 40 kill leader, 45 back",
-        "all away                  | 0 cancel 1, 0.1 kill n-0, 0.1 kill n-1, 0.1 kill n-2, 25 back, 30 submit",
-        "zones lose machines       | 0 die a, 0.1 kill leader, 3 submit, 5 back, 10 die b, 12 kill leader, 14 back",
-        "nobody hears the next one | 0 unresponsive, 0 kill leader, 2 cancel 2, 9 submit, 15 back, 40 heal",
-        "cannot be asked           | 0 hang 30, 0.5 kill leader, 3 submit, 6 back, 8 cancel 1",
-        "a report is held back     | 0 copies, 2 cut leader, 2 submit, 14 heal, 20 kill leader, 24 back",
-        "refused, then all         | 0 refuse leader, 0.2 cancel 1, 1 outage, 61 heal",
-        "refused as it is told     | 0 cancel 1, 0 refuse leader, 0.1 cancel 2, 1 outage, 56 heal",
-        "slow, refused, then all   | 0 late, 2 refuse leader, 3 cancel 1, 6 outage, 9 poll, 50 heal",
-        "a team at its limit       | 0 hang 15, 0 submit, 0.1 kill leader, 2 cancel 1, 2.5 submit, 4 back, 9 cancel 2, 12 submit",
-        "reach nobody              | 0 mute, 3 submit, 8 kill leader, 14 back, 14 cancel 1, 50 heal",
-        "ten leaders               | 0 kill leader, 6 back, 12 kill leader, 18 back, 24 refuse leader, 36 heal, 40 outage, "
-            + "44 kill leader, 50 back, 52 cancel 1, 55 heal, 62 kill leader, 66 back, 74 cut leader, 86 heal, 92 kill leader",
-        "only its workers, users   | 0 cut leader, 0.5 poll, 9 cancel 1, 12 poll, 30 submit, 60 heal",
-        "a zone apart              | 0 apart a, 5 submit, 10 cancel 1, 30 poll, 45 heal",
-        "late writes               | 0 writes, 0 short, 3 submit, 5 kill leader, 7 cancel 1, 9 back, 12 submit, 30 kill leader, 36 back",
-        "over and back             | 0 kill leader, 0.3 back, 0.5 kill leader, 0.8 back, 1.1 kill n-0, 1.1 kill n-1, "
-            + "1.1 kill n-2, 1.4 back, 2 cancel 1"
+        "leader crashes while tasks complete | "
+            + "0 short-tasks, 6 crash leader, 9 restart, 15 crash leader, 21 restart, "
+            + "30 crash leader, 31 restart",
+        "delayed commands and hung machines | "
+            + "0 delay-commands, 0 submit, 1 hang 12, 3 cancel 2, 8 submit, 10 hang 9, "
+            + "30 clear",
+        "cancellation as the last task completes | "
+            + "0 short-tasks, 2 cancel 1, 2.1 poll, 4 cancel 2, 5 submit, 6 cancel 3, "
+            + "6 resubmit, 9 resubmit",
+        "duplicated heartbeats and leader crashes | "
+            + "0 duplicate-heartbeats, 0 short-tasks, 5 crash leader, 6 restart, "
+            + "20 hang 25, 30 submit, 40 crash leader, 45 restart",
+        "all controllers crash after a cancellation | "
+            + "0 cancel 1, 0.1 crash n-0, 0.1 crash n-1, 0.1 crash n-2, 25 restart, "
+            + "30 submit",
+        "machine loss and leader crash in each zone | "
+            + "0 lose-machine a, 0.1 crash leader, 3 submit, 5 restart, "
+            + "10 lose-machine b, 12 crash leader, 14 restart",
+        "workers receive nothing from the new leader | "
+            + "0 lose-inbound, 0 crash leader, 2 cancel 2, 9 submit, 15 restart, 40 clear",
+        "hung machines do not answer the new leader | "
+            + "0 hang 30, 0.5 crash leader, 3 submit, 6 restart, 8 cancel 1",
+        "duplicated heartbeats and an isolated leader | "
+            + "0 duplicate-heartbeats, 2 isolate leader, 2 submit, 14 clear, "
+            + "20 crash leader, 24 restart",
+        "leader refused by the state service, then outage | "
+            + "0 refuse leader, 0.2 cancel 1, 1 outage, 61 clear",
+        "leader refused during cancellations, then outage | "
+            + "0 cancel 1, 0 refuse leader, 0.1 cancel 2, 1 outage, 56 clear",
+        "delayed commands, leader refused, then outage | "
+            + "0 delay-commands, 2 refuse leader, 3 cancel 1, 6 outage, 9 poll, 50 clear",
+        "team at its quota as the leader crashes | "
+            + "0 hang 15, 0 submit, 0.1 crash leader, 2 cancel 1, 2.5 submit, 4 restart, "
+            + "9 cancel 2, 12 submit",
+        "heartbeats lost and leader crash | "
+            + "0 lose-heartbeats, 3 submit, 8 crash leader, 14 restart, 14 cancel 1, "
+            + "50 clear",
+        "repeated changes of leader | "
+            + "0 crash leader, 6 restart, 12 crash leader, 18 restart, 24 refuse leader, "
+            + "36 clear, 40 outage, 44 crash leader, 50 restart, 52 cancel 1, 55 clear, "
+            + "62 crash leader, 66 restart, 74 isolate leader, 86 clear, 92 crash leader",
+        "leader isolated from state service and peers | "
+            + "0 isolate leader, 0.5 poll, 9 cancel 1, 12 poll, 30 submit, 60 clear",
+        "zone partition | " + "0 partition a, 5 submit, 10 cancel 1, 30 poll, 45 clear",
+        "delayed commits and leader crashes | "
+            + "0 delay-commits, 0 short-tasks, 3 submit, 5 crash leader, 7 cancel 1, "
+            + "9 restart, 12 submit, 30 crash leader, 36 restart",
+        "repeated crashes and restarts | "
+            + "0 crash leader, 0.3 restart, 0.5 crash leader, 0.8 restart, "
+            + "1.1 crash n-0, 1.1 crash n-1, 1.1 crash n-2, 1.4 restart, 2 cancel 1"
       })
-  void rulesHoldAndJobsEndUnderOverlappingFaults(String name, String script) {
+  void rulesHoldAndJobsEndUnderOverlappingFaults(String displayName, String script) {
     runtimeS = 50;
     submit(leader(), job(2));
     submit(leader(), job(3));
     submit(leader(), inSingleZone(job(2)));
     advanceAndCheckRules(1);
-    // A chain behind them: one needs what is to run long, the next one that, and the last both.
+    // A chain of dependent jobs: wk-4 depends on the running wk-1, wk-5 on wk-4, wk-6 on wk-5 and
+    // wk-2.
     submit(leader(), job(1).withDependencies(List.of("wk-1")));
     advanceAndCheckRules(1);
     submit(leader(), job(2).withDependencies(List.of("wk-4")));
@@ -134,10 +165,11 @@
       applyStep(words[1]);
     }
     advanceAndCheckRules(2);
-    applyStep("heal");
+    applyStep("clear");
     awaitEveryJobEnds();
   }
 
+  /** Applies one step of a script: an action and its argument, if it has one. */
   private void applyStep(String step) {
     String[] words = step.split(" ", -1);
     ControllerProcess target =
@@ -145,23 +177,23 @@
     int number =
         words.length > 1 && Character.isDigit(words[1].charAt(0)) ? Integer.parseInt(words[1]) : 0;
     switch (words[0]) {
-      case "short" -> runtimeS = 5;
-      case "late" -> delayedCommandShare = 0.5;
-      case "writes" -> delayedCommitShare = 0.5;
-      case "copies" -> duplicatedHeartbeatShare = 0.8;
-      case "kill" -> {
+      case "short-tasks" -> runtimeS = 5;
+      case "delay-commands" -> delayedCommandShare = 0.5;
+      case "delay-commits" -> delayedCommitShare = 0.5;
+      case "duplicate-heartbeats" -> duplicatedHeartbeatShare = 0.8;
+      case "crash" -> {
         if (target != null) {
           target.crashed = true;
         }
       }
-      case "back" ->
+      case "restart" ->
           processes.values().stream()
               .filter(other -> other.crashed)
               .map(other -> other.name)
               .toList()
               .forEach(this::startController);
       case "refuse" -> target.refusedByStateService = true;
-      case "cut" -> {
+      case "isolate" -> {
         target.refusedByStateService = true;
         target.peersUnreachable = true;
       }
@@ -173,25 +205,26 @@
           workers.values().stream()
               .limit(2)
               .forEach(worker -> worker.hangsUntil = loop.now() + number);
-      case "unresponsive" -> workers.values().forEach(worker -> worker.inboundMessagesLost = true);
-      case "mute" -> workers.values().forEach(worker -> worker.heartbeatsLost = true);
-      case "die" ->
+      case "lose-inbound" -> workers.values().forEach(worker -> worker.inboundMessagesLost = true);
+      case "lose-heartbeats" -> workers.values().forEach(worker -> worker.heartbeatsLost = true);
+      case "lose-machine" ->
           workers.values().stream()
               .filter(worker -> worker.heartbeat.get("Depot").asText().equals(words[1]))
               .findFirst()
               .ifPresent(this::removeMachine);
-      case "apart" -> {
+      case "partition" -> {
         isolatedZone = words[1];
         controllerInIsolatedZone = leader();
         controllerInIsolatedZone.refusedByStateService = true;
         controllerInIsolatedZone.peersUnreachable = true;
       }
       case "submit" -> submit(randomController(), job(2));
-      case "repeat" ->
+      case "resubmit" ->
           List.copyOf(jobs.values()).forEach(view -> submit(randomController(), view.job));
       case "poll" -> jobs.values().forEach(view -> poll(randomController(), view));
       case "cancel" -> cancel(follower(), jobs.get("wk-" + number));
-      default -> clearFaults();
+      case "clear" -> clearFaults();
+      default -> throw new AssertionError("unknown step: " + step);
     }
   }
 }
--- a/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
+++ b/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
@@ -20,9 +20,12 @@
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
-/** A controller that is cut off from the state service, its peers or both. */
+/** A controller that is isolated from the state service, its peers or both. */
 class IsolatedControllerTest extends ControllerTestBase {
-  /** Isolates the controller from the state service and its peers, but not from its workers. */
+  /**
+   * Starts a controller with an open job and isolates it from the state service and its peers, but
+   * not from its workers.
+   */
   private void isolate() throws InvalidFieldException {
     process.crashed = true;
     process = new ControllerProcess("n-0", true);
@@ -34,7 +37,8 @@
   }
 
   /**
-   * A peer that does not lead reports whether the state service is available to it, and last was.
+   * Handles a heartbeat of a follower that reports whether the state service is available to it,
+   * and how many seconds ago it last was.
    */
   private void receivePeerHeartbeat(long number, boolean available, double availableAgoS) {
     PeerMessage message =
@@ -44,6 +48,10 @@
         (code, type, bytes, retryAfterS) -> assertEquals(200, code));
   }
 
+  /**
+   * Returns the status of the response to a worker's heartbeat, which must not name a controller to
+   * redirect to.
+   */
   private int workerHeartbeatStatus() {
     int[] status = new int[1];
     process.controller.handle(
@@ -58,7 +66,8 @@
   }
 
   /**
-   * It stops acting when its lease expires, and redirects its workers to nobody, itself included.
+   * The leader stops acting when its lease expires. It redirects its workers to no controller, not
+   * even to itself.
    */
   @Test
   void isolatedLeaderRefusesHeartbeatsOnceItsLeaseHasExpired() throws InvalidFieldException {
@@ -70,12 +79,12 @@
     assertEquals(421, workerHeartbeatStatus());
     state.unreachable = false;
     loop.advance(20);
-    assertEquals(200, workerHeartbeatStatus(), "and leads again, in a new term, once it is back");
+    assertEquals(200, workerHeartbeatStatus(), "leads again, in a new term, after the isolation");
   }
 
   /**
-   * Users are refused at once and not after a time-out each, and the balancer is told to send them
-   * elsewhere.
+   * User requests are refused at once instead of after a time-out, and the health check fails so
+   * that the load balancer uses other controllers.
    */
   @Test
   void isolatedControllerRefusesUsersWithoutWaiting() throws InvalidFieldException {
@@ -95,7 +104,8 @@
   }
 
   /**
-   * It returns what others returned to users while it was isolated, as soon as it returns anything.
+   * After the isolation, the first status that the controller returns is the outcome that other
+   * controllers confirmed to users in the meantime.
    */
   @Test
   void controllerBackFromIsolationReturnsOutcomesDecidedMeanwhile() throws InvalidFieldException {
@@ -110,7 +120,8 @@
   }
 
   /**
-   * A peer was last served this much later than this controller, which has not been served for 8 s.
+   * The state service last responded to a peer {@code laterS} seconds later than to this
+   * controller, which has had no response for 8 s.
    */
   @ParameterizedTest
   @CsvSource({"0.5, 200", "1.5, 200", "7, 503"})
@@ -127,8 +138,8 @@
   }
 
   /**
-   * A leader that alone is refused does not continue with the leases of its peers; in an outage of
-   * all it does.
+   * A leader whose peers grant it their leases stops acting if only its own requests to the state
+   * service are refused. It continues in an outage that affects every controller.
    */
   @ParameterizedTest
   @CsvSource({"true, 421", "false, 200"})
@@ -148,8 +159,8 @@
   }
 
   /**
-   * A candidate holds the leases of others while it waits for votes: it must not wait for those of
-   * a peer that stopped responding long ago.
+   * A candidate holds leases of other controllers while it waits for votes. It must not wait for
+   * the vote of a peer that stopped responding long ago.
    */
   @Test
   void candidateDoesNotWaitForVotesOfUnresponsivePeers() throws InvalidFieldException {
@@ -176,15 +187,17 @@
     controller.peerHeartbeats().start();
     loop.advance(3);
     unreachable.add(settings.peers().get(1).address());
-    assertEquals(-1, votesReceived(controller), "one that responded a moment ago is waited for");
+    assertEquals(-1, votesReceived(controller), "must wait for a peer that responded a moment ago");
     loop.advance(5);
     assertEquals(1, votesReceived(controller));
     unreachable.add(settings.peers().get(0).address());
     loop.advance(5);
-    assertEquals(0, votesReceived(controller), "nobody is left to wait for");
+    assertEquals(0, votesReceived(controller), "no peer is left to wait for");
   }
 
-  /** How many votes arrive within a tenth of a second; -1 when more are waited for. */
+  /**
+   * Returns the number of votes received within 0.1 s, or -1 if the candidate still waits for more.
+   */
   private int votesReceived(Controller controller) {
     int[] count = {-1};
     controller.peerVoting().requestVotes(1, votes -> false, votes -> count[0] = votes.size());
@@ -192,6 +205,7 @@
     return count[0];
   }
 
+  /** Sends a peer request and returns whether the lease was granted. */
   private boolean requestIsGranted(
       String path, String candidate, String incarnation, long number, long term) {
     boolean[] granted = new boolean[1];
@@ -212,8 +226,9 @@
   }
 
   /**
-   * A candidate campaigns, withdraws, campaigns again and leads; then its withdrawal arrives late,
-   * or twice. If it counted, the next candidate would be granted a lease that the first one holds.
+   * A candidate campaigns, withdraws, campaigns again and becomes leader. Then its withdrawal
+   * arrives late or a second time. If the late withdrawal were accepted, the next candidate would
+   * be granted a lease that the first one still holds.
    */
   @ParameterizedTest
   @CsvSource({"2, false", "4, true"})
@@ -224,10 +239,12 @@
     process = new ControllerProcess("n-0", true);
     loop.advance(TestData.LEASE_S / 5 * 1.01);
     assertTrue(requestIsGranted("/peer/vote", "n-1", "x", 1, 7));
-    assertFalse(requestIsGranted("/peer/vote", "n-2", "y", 1, 8), "it has granted its lease");
+    assertFalse(requestIsGranted("/peer/vote", "n-2", "y", 1, 8), "the lease is granted to n-1");
     assertTrue(requestIsGranted("/peer/vote", "n-1", "x", 3, 7));
     requestIsGranted("/peer/giveup", "n-1", "x", number, 7);
     assertEquals(counts, requestIsGranted("/peer/vote", "n-2", "y", 2, 8));
-    assertFalse(requestIsGranted("/peer/vote", "n-2", "y", 2, 8), "a copy is granted nothing");
+    assertFalse(
+        requestIsGranted("/peer/vote", "n-2", "y", 2, 8),
+        "a duplicate request must not be granted");
   }
 }
--- a/src/test/java/org/saffronshore/control/MalformedMessageTest.java
+++ b/src/test/java/org/saffronshore/control/MalformedMessageTest.java
@@ -20,14 +20,14 @@
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
-/** Malformed stored values and peer messages are logged and handled; the controller goes on. */
+/** Malformed stored values and peer messages do not stop a controller. */
 class MalformedMessageTest extends ClusterSimulation {
 
   private static JsonNode json(String text) {
     return Json.parse(text.replace('\'', '"').getBytes(UTF_8));
   }
 
-  /** Each value is malformed in what the next leader reads; the rest of it is used. */
+  /** Part of a record is malformed: the next leader ignores that part and uses the rest. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -58,7 +58,7 @@
     assertEquals(2, startedTasks.size(), startedTasks.toString());
   }
 
-  /** Of a job whose launch watermark is malformed any task may have been launched. */
+  /** If the launch watermark of a job is malformed, any of its tasks may have been launched. */
   @Test
   void tasksWaitForTheWorkerLeaseWhenTheLaunchWatermarkIsMalformed() throws InvalidFieldException {
     JsonNode spec = TestData.job("wk-1", "red", Priority.STANDARD, 2, 4).toJson();
@@ -67,7 +67,7 @@
     state.put("r/0", json("{'host-7':{'At':1}}"));
     process = new ControllerProcess("n-0");
     loop.advance(TestData.LEASE_S / 2);
-    assertEquals(0, startedTasks.size(), "host-7 may hold them until its lease is over");
+    assertEquals(0, startedTasks.size(), "host-7 may hold the tasks until its lease has expired");
     loop.advance(2 * TestData.LEASE_S + DEFAULT_RUNTIME_S);
     assertEquals(2, startedTasks.size());
   }
@@ -96,7 +96,7 @@
     assertEquals(400, status[0]);
   }
 
-  /** Fields that are missing or of another kind are taken as not known. */
+  /** Fields that are missing or have a wrong type are treated as unknown. */
   @Test
   void malformedFieldsOfPeerMessagesAreTakenAsUnknown() throws InvalidFieldException {
     PeerMessage message =
--- a/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
+++ b/src/test/java/org/saffronshore/control/QuotaMetricsTest.java
@@ -20,7 +20,7 @@
 import org.saffronshore.wire.JobSpec;
 import org.saffronshore.wire.Priority;
 
-/** Quota usage, and cycles in which quotas limit tasks, as metrics. */
+/** Metrics of the quota usage and of the scheduling cycles in which a quota limits tasks. */
 class QuotaMetricsTest {
   private final Metrics metrics = new Metrics();
   private final QuotaMetrics quotaMetrics = new QuotaMetrics(metrics, List.of("red", "blue"));
@@ -44,10 +44,13 @@
 
   private void assertMetric(String line) {
     String text = metrics.scrape();
-    assertTrue(text.contains(line + "\n"), () -> line + " is not in\n" + text);
+    assertTrue(text.contains(line + "\n"), () -> "expected the line " + line + " in\n" + text);
   }
 
-  /** Two tasks of 4 CPUs are launched of 16; the rest is what unreconciled machines may hold. */
+  /**
+   * Two launched tasks use 8 of 16 CPUs; {@code possible} and {@code possiblyHeld} are CPUs of
+   * tasks that unreconciled machines may hold.
+   */
   @ParameterizedTest
   @CsvSource({
     "0, 0, 0, 0",
@@ -73,7 +76,9 @@
     assertLimitedCycles(byKnown, byUnreconciled);
   }
 
-  /** Launched tasks alone reach the limit: unreconciled machines make no difference. */
+  /**
+   * The launched tasks alone reach the quota, so the cycle is not limited by unreconciled machines.
+   */
   @Test
   void cycleLimitedByKnownUsageAloneIsCountedAsKnown() {
     JobSpec job = TestData.job("wk-1", "red", Priority.STANDARD, 4, 4);
--- a/src/test/java/org/saffronshore/control/RandomFaultsTest.java
+++ b/src/test/java/org/saffronshore/control/RandomFaultsTest.java
@@ -11,19 +11,20 @@
 import org.saffronshore.wire.JobSpec;
 
 /**
- * Random faults on three whole controllers: whatever happens, the rules hold and every job ends.
+ * Random faults on three complete controllers. The rules must hold throughout, and every job must
+ * end.
  */
 class RandomFaultsTest extends RuleCheckingSimulation {
   /**
-   * Some, always the same; more are run with {@code -Dfaults.seeds=100}, and others than the first
-   * ones with {@code -Dfaults.first=101}.
+   * Returns the seeds to run: 1 to 4 unless {@code -Dfaults.seeds=100} sets their number and {@code
+   * -Dfaults.first=101} the first one.
    */
   static IntStream seeds() {
     int first = Integer.getInteger("faults.first", 1);
     return IntStream.range(first, first + Integer.getInteger("faults.seeds", 4));
   }
 
-  /** Faults of all kinds overlap: the rules hold, and once all are over every job ends. */
+  /** Faults of all kinds overlap. The rules must hold, and every job must end after the faults. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldAndJobsEndUnderRandomFaults(int seed) {
@@ -36,7 +37,7 @@
         sendRandomUserRequest();
         advanceAndCheckRules(random.nextDouble() * 3);
       }
-      // Faults accumulate, until all are over for a while.
+      // Faults accumulate until all of them are cleared for a while.
       if (random.nextInt(5) == 0) {
         clearFaults();
         for (int i = 0; i < 5; i++) {
@@ -47,17 +48,17 @@
     }
     clearFaults();
     awaitEveryJobEnds();
-    // Of chains whose first jobs are cancelled hardly any is done, so it is starts that show that
-    // anything was tried.
+    // Few jobs of a chain complete if its first jobs are cancelled. Therefore the number of started
+    // tasks shows that the run had work to do.
     assertTrue(
         startedTasks.size() > 10
             && jobs.values().stream().anyMatch(view -> "done".equals(view.finalStatus)),
-        () -> startedTasks.size() + " starts, of " + jobs.size() + " jobs");
+        () -> startedTasks.size() + " started tasks of " + jobs.size() + " jobs");
   }
 
   /**
-   * A team at its limit, and all controllers end twice within 15 s inside short outages while some
-   * machines do not answer, and users cancel in the middle of it.
+   * A team is at its quota. All controllers crash twice within 15 s, each time during a short
+   * outage of the state service, while some machines hang and users cancel jobs.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -85,10 +86,12 @@
     }
     clearFaults();
     awaitEveryJobEnds();
-    assertTrue(startedTasks.size() > 10, () -> startedTasks.size() + " starts");
+    assertTrue(startedTasks.size() > 10, () -> startedTasks.size() + " started tasks");
   }
 
-  /** All controllers end inside an outage of the state service, and are back at once. */
+  /**
+   * Crashes all controllers during an outage of the state service, and restarts them within 0.2 s.
+   */
   private void restartAllControllersDuringAnOutage() {
     double from = loop.now();
     setOutage(true, 0);
@@ -100,7 +103,9 @@
     setOutage(false, loop.now() - from);
   }
 
-  /** Users submit jobs of two tasks until so many are open. */
+  /**
+   * Submits jobs of two tasks until the given number is open, and resubmits the unconfirmed ones.
+   */
   private void submitUntilOpen(int open) {
     while (jobs.values().stream().filter(view -> view.finalStatus == null).count() < open) {
       submit(processes.get("n-" + random.nextInt(3)), job(2));
@@ -110,7 +115,7 @@
         .forEach(view -> submit(processes.get("n-" + random.nextInt(3)), view.job));
   }
 
-  /** A user cancels a job that has tasks on machines. */
+  /** Cancels a random job that has tasks on machines. */
   private void cancelRandomActiveJob() {
     List<UserView> open =
         jobs.values().stream()
@@ -121,7 +126,7 @@
     }
   }
 
-  /** Begins a random fault, or ends it. */
+  /** Begins or ends a random fault. */
   private void toggleRandomFault() {
     ControllerProcess target = processes.get("n-" + random.nextInt(3));
     ControllerProcess leader = leader();
@@ -163,12 +168,12 @@
       case 12 -> delayedCommandShare = random.nextInt(2) * 0.3;
       case 13 -> duplicatedHeartbeatShare = random.nextInt(2) * 0.3;
       default -> {
-        // Faults last; users go on.
+        // No change: the current faults continue.
       }
     }
   }
 
-  /** A request of a user to any controller. */
+  /** Sends a random user request to a random controller. */
   private void sendRandomUserRequest() {
     ControllerProcess controller = processes.get("n-" + random.nextInt(3));
     List<UserView> known = new ArrayList<>(jobs.values());
--- a/src/test/java/org/saffronshore/control/ReadmeTest.java
+++ b/src/test/java/org/saffronshore/control/ReadmeTest.java
@@ -19,9 +19,10 @@
 import org.saffronshore.wire.InvalidFieldException;
 import org.saffronshore.wire.Json;
 
-/** The README's example of dependent jobs, with the bodies that it shows. */
+/** The examples in the README work as they are shown. */
 class ReadmeTest extends ClusterSimulation {
 
+  /** Returns the request bodies of the curl commands in the README. */
   private static List<JsonNode> exampleBodies() throws IOException {
     Matcher matcher =
         Pattern.compile("curl -d '([^']*)'").matcher(Files.readString(Path.of("README.md")));
@@ -63,7 +64,7 @@
     assertEquals("aborted", status("wk-000012"));
   }
 
-  /** The settings that the README shows are valid as they are. */
+  /** The settings shown in the README are valid without changes. */
   @Test
   void settingsOfTheReadmeAreValid() throws IOException, InvalidFieldException {
     Matcher matcher =
@@ -72,6 +73,6 @@
     assertTrue(matcher.find());
     Settings settings = Settings.parse(Json.parse(matcher.group(1).getBytes(UTF_8)));
     assertEquals("n-0", settings.node());
-    assertEquals(2, settings.maxValueKb(), "the smaller of now and next");
+    assertEquals(2, settings.maxValueKb(), "the smaller one of the current and the upcoming limit");
   }
 }
--- a/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
+++ b/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
@@ -21,25 +21,25 @@
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
-/** Three whole controllers with users, and the protocol's rules checked at every step. */
+/** Three complete controllers with users. The rules of the protocol are checked at every step. */
 abstract class RuleCheckingSimulation extends ClusterSimulation {
   static final double CANCEL_S = 40;
 
-  /** Red's limit. Four tasks of four CPUs. */
+  /** The CPU quota of team red: four tasks of four CPUs. */
   static final double TEAM_LIMIT_CPUS = 16;
 
   static final double TASK_CPUS = 4;
 
-  /** What users know of a job from the responses that they got. */
+  /** What users know about a job from the responses that they received. */
   static final class UserView {
     final JobSpec job;
     boolean accepted;
     boolean cancelRequested;
 
-    /** The final status that a user got; null while there is none. */
+    /** The final status that a user received; null if none was received yet. */
     String finalStatus;
 
-    /** When a user first got the response that the job is cancelled. */
+    /** When a user first received the response that the job is cancelled; infinite if never. */
     double cancelledAt = Double.POSITIVE_INFINITY;
 
     UserView(JobSpec job) {
@@ -49,7 +49,7 @@
 
   final Map<String, UserView> jobs = new LinkedHashMap<>();
 
-  /** The rules are checked once in this time. */
+  /** The interval at which the rules are checked, in seconds. */
   static final double STEP_S = 0.25;
 
   int lastJobNumber;
@@ -81,7 +81,7 @@
     for (FakeWorker other : workers.values()) {
       assertFalse(
           other != worker && other.activeTasks().contains(task),
-          () -> task + " starts on " + worker.id + " and is on " + other.id);
+          () -> task + " was started on " + worker.id + " and is still on " + other.id);
     }
     JobSpec job = jobs.get(jobOf(task)).job;
     for (String dependency : job.dependencies()) {
@@ -90,7 +90,7 @@
           state.value("f/" + dependency) == null
               ? "open"
               : state.value("f/" + dependency).path("State").asText(),
-          () -> task + " starts too early: " + dependency + " is not done");
+          () -> task + " was started before its dependency " + dependency + " was done");
     }
     double cpus =
         workers.values().stream()
@@ -100,7 +100,7 @@
             * TASK_CPUS;
     assertTrue(
         !job.team().equals("red") || cpus <= TEAM_LIMIT_CPUS,
-        () -> job.team() + " uses " + cpus + " CPUs");
+        () -> "team " + job.team() + " uses " + cpus + " CPUs, quota " + TEAM_LIMIT_CPUS);
     if (job.singleZone()) {
       Set<String> zones = new TreeSet<>();
       workers.values().stream()
@@ -108,7 +108,7 @@
               holder ->
                   holder.activeTasks().stream().anyMatch(held -> jobOf(held).equals(job.id())))
           .forEach(holder -> zones.add(holder.heartbeat.get("Depot").asText()));
-      assertEquals(1, zones.size(), () -> job.id() + " is in " + zones);
+      assertEquals(1, zones.size(), () -> job.id() + " must run in one zone and is in " + zones);
     }
   }
 
@@ -120,7 +120,7 @@
     for (FakeWorker worker : workers.values()) {
       for (String task : worker.activeTasks()) {
         UserView view = jobs.get(jobOf(task));
-        // A machine that hangs runs nothing.
+        // A hung machine runs nothing.
         assertTrue(
             loop.now() < view.cancelledAt + CANCEL_S || loop.now() < worker.hangsUntil,
             () ->
@@ -129,12 +129,12 @@
                     + worker.id
                     + " "
                     + (loop.now() - view.cancelledAt)
-                    + " s after its user was told it is cancelled");
+                    + " s after its user was told that it is cancelled");
       }
     }
   }
 
-  /** Lets time pass, and checks the rules. */
+  /** Advances the clock and checks the rules at every step. */
   void advanceAndCheckRules(double seconds) {
     double until = loop.now() + seconds;
     while (loop.now() < until - 1e-9) {
@@ -145,7 +145,7 @@
               .filter(
                   candidate -> !candidate.crashed && candidate.controller.leadership().isActive())
               .count();
-      assertTrue(activeLeaders <= 1, activeLeaders + " controllers act as leader");
+      assertTrue(activeLeaders <= 1, activeLeaders + " controllers act as leader at the same time");
     }
   }
 
@@ -153,7 +153,7 @@
     String status = response.path("Status").asText("");
     assertTrue(
         httpStatus != 404 || !view.accepted,
-        () -> view.job.id() + " was accepted, and is forgotten");
+        () -> view.job.id() + " was accepted and is now unknown");
     if (httpStatus != 200 && httpStatus != 201) {
       return;
     }
@@ -161,7 +161,8 @@
     boolean over = status.equals("done") || status.equals("aborted");
     assertTrue(
         view.finalStatus == null || view.finalStatus.equals(status),
-        () -> view.job.id() + " was " + view.finalStatus + ", is " + status);
+        () ->
+            view.job.id() + " changed its final status from " + view.finalStatus + " to " + status);
     if (over) {
       view.finalStatus = status;
     }
@@ -170,32 +171,33 @@
         over || loop.now() < cancelledAt + CANCEL_S,
         () ->
             view.job.id()
-                + " is called "
+                + " has status "
                 + status
                 + " "
                 + (loop.now() - cancelledAt)
-                + " s after a job that it needs was cancelled");
+                + " s after it or a dependency was cancelled");
     if (status.equals("aborted")) {
       assertTrue(
           cancelRequested(view.job.id()),
-          () -> view.job.id() + " is cancelled, and nobody asked for it");
+          () -> view.job.id() + " is cancelled although no user requested it");
       view.cancelledAt = Math.min(view.cancelledAt, loop.now());
     }
     if (status.equals("done")) {
       for (int i = 0; i < view.job.tasks(); i++) {
         assertTrue(
-            completedTasks.contains(view.job.id() + "/" + i), () -> view.job.id() + " is not done");
+            completedTasks.contains(view.job.id() + "/" + i),
+            () -> view.job.id() + " is reported as done with unfinished tasks");
       }
     }
   }
 
-  /** Whether a user has requested to cancel the job, or a dependency. */
+  /** Returns whether a user has requested the cancellation of the job or of a dependency. */
   boolean cancelRequested(String id) {
     UserView view = jobs.get(id);
     return view.cancelRequested || view.job.dependencies().stream().anyMatch(this::cancelRequested);
   }
 
-  /** When a user first learned that the job, or a dependency, is cancelled. */
+  /** Returns when a user first learned that the job or a dependency is cancelled. */
   double cancelledAt(String id) {
     UserView view = jobs.get(id);
     double at = view.cancelledAt;
@@ -206,8 +208,8 @@
   }
 
   /**
-   * Sends a user's request; the response counts if it arrives within the two seconds that the user
-   * waits.
+   * Sends a user's request. The response is checked if it arrives within the user's time-out of two
+   * seconds.
    */
   void sendUserRequest(
       ControllerProcess process, UserView view, String method, String path, JsonNode body) {
@@ -260,6 +262,7 @@
         .get();
   }
 
+  /** Returns how many tasks of a job are on machines and have not ended. */
   long activeTaskCount(UserView view) {
     return workers.values().stream()
         .flatMap(holder -> holder.activeTasks().stream())
@@ -267,14 +270,22 @@
         .count();
   }
 
-  void setOutage(boolean now, double forS) {
-    state.unavailableFor = now ? (method, path) -> true : (method, path) -> false;
-    if (!now) {
-      state.extendLeasesAfterOutage(forS);
+  /**
+   * Begins or ends an outage of the state service.
+   *
+   * @param durationS how long the outage that ends has lasted, in seconds
+   */
+  void setOutage(boolean outage, double durationS) {
+    state.unavailableFor = outage ? (method, path) -> true : (method, path) -> false;
+    if (!outage) {
+      state.extendLeasesAfterOutage(durationS);
     }
   }
 
-  /** The longest wait: a bad moment, a lease, and what the team's limit lets through at a time. */
+  /**
+   * Waits, for at most 300 s, until every accepted job has a final status. A worker lease may have
+   * to expire first, and the team's quota lets only a few tasks run at a time.
+   */
   void awaitEveryJobEnds() {
     for (int i = 0;
         i < 60
@@ -289,9 +300,10 @@
     jobs.values().stream()
         .filter(view -> view.accepted && view.finalStatus == null)
         .forEach(view -> open.add(view.job.id()));
-    assertTrue(open.isEmpty(), () -> "not over: " + open);
+    assertTrue(open.isEmpty(), () -> "jobs without a final status: " + open);
   }
 
+  /** Ends all faults and restarts the crashed controllers. */
   void clearFaults() {
     delayedCommitShare = 0;
     delayedCommandShare = 0;
@@ -317,6 +329,7 @@
             });
   }
 
+  /** Returns a random controller process, which may have crashed. */
   ControllerProcess randomController() {
     return List.copyOf(processes.values()).get(random.nextInt(processes.size()));
   }
--- a/src/test/java/org/saffronshore/control/StateServiceLimitsTest.java
+++ b/src/test/java/org/saffronshore/control/StateServiceLimitsTest.java
@@ -11,11 +11,13 @@
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
-/** The limits of the state service become lower without notice. */
+/** The limits of the state service are lowered without notice while controllers run. */
 class StateServiceLimitsTest extends ControllerTestBase {
   /**
-   * Sizes keep to the smaller limits from the start, and pages written under the larger ones are
-   * read and split. A job with more tasks than a short value can hold is not run again either.
+   * A controller keeps its values and transactions within the smaller of the current and the
+   * upcoming size limits from the start. It reads and splits pages that were written under larger
+   * limits. Finished tasks are not run again, also of a job that has more tasks than one value can
+   * represent.
    */
   @Test
   void upcomingSizeLimitsAreKeptFromTheStart() throws InvalidFieldException {
@@ -50,14 +52,14 @@
     assertEquals(
         240,
         startedTasks.stream().filter(task -> !task.startsWith("wk-100/")).count(),
-        "none was started twice");
+        "no task may be started twice");
     assertEquals(0, state.invalidTransactions);
     assertEquals("done", status("wk-100"));
   }
 
   /**
-   * A response for the rate limit makes a controller keep to the upcoming rate; the leader keeps
-   * its share of it.
+   * After a response with status 429, a controller keeps to the upcoming rate limit. The leader
+   * keeps its share of that rate.
    */
   @Test
   void rateLimitResponseLowersTheRateToTheUpcomingLimit() throws InvalidFieldException {
