--- a/src/test/java/org/saffronshore/control/MalformedMessageTest.java
+++ b/src/test/java/org/saffronshore/control/MalformedMessageTest.java
@@ -98,7 +98,7 @@
 
   /** Fields that are missing or have a wrong type are treated as unknown. */
   @Test
-  void malformedFieldsOfPeerMessagesAreTakenAsUnknown() throws InvalidFieldException {
+  void malformedFieldsOfPeerMessagesAreTreatedAsUnknown() throws InvalidFieldException {
     PeerMessage message =
         PeerMessage.parse(
             Json.cbor(json("{'node':'n-1','life':'x','term':'y','jobs':{'wk-1':7,'wk-2':[1,2]}}")));
--- a/src/test/java/org/saffronshore/control/ReadmeTest.java
+++ b/src/test/java/org/saffronshore/control/ReadmeTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void dependentJobsOfTheReadmeRunInOrderAndAreCancelledTogether()
+  void dependentJobsOfTheReadmeRunInOrderAndAreCancelledWithTheirDependency()
       throws IOException, InvalidFieldException {
     ObjectNode settings = TestData.settingsJson();
     settings.withObject("/cluster").putArray("teams").addObject().put("name", "vision");
