--- a/src/test/java/org/saffronshore/JobBuilder.java
+++ b/src/test/java/org/saffronshore/JobBuilder.java
@@ -5,8 +5,8 @@
 import org.saffronshore.wire.Priority;
 
 /**
- * Builds jobs for tests. Without further settings a job has one task of 1 CPU, may run anywhere,
- * saves no checkpoints, has no deadline and depends on no other job.
+ * Builds jobs for tests. Without further settings a job has one task of 1 CPU, has no placement
+ * constraints, saves no checkpoints and has neither a deadline nor dependencies.
  */
 public final class JobBuilder {
   private final String id;
@@ -63,13 +63,13 @@
     return builder;
   }
 
-  public JobBuilder tasks(int number) {
-    this.tasks = number;
+  public JobBuilder tasks(int count) {
+    this.tasks = count;
     return this;
   }
 
-  public JobBuilder cpus(double cpusOfATask) {
-    this.cpus = cpusOfATask;
+  public JobBuilder cpus(double cpusPerTask) {
+    this.cpus = cpusPerTask;
     return this;
   }
 
--- a/src/test/java/org/saffronshore/control/ChainedJobsTest.java
+++ b/src/test/java/org/saffronshore/control/ChainedJobsTest.java
@@ -148,7 +148,8 @@
   @ParameterizedTest
   @CsvSource({"16, 16, 1500, 1900", "16, 2, 150, 300", "2, 16, 150, 300"})
   void numberOfDependenciesIsLimitedByTheValueLength(
-      int valueKb, int nextValueKb, int accepted, int refused) throws InvalidFieldException {
+      int valueKb, int nextValueKb, int acceptedCount, int rejectedCount)
+      throws InvalidFieldException {
     process.crashed = true;
     ObjectNode settings = TestData.settingsJson();
     settings.withObject("/cluster/state").put("value_kb", valueKb).put("txn_ops", 2);
@@ -156,15 +157,15 @@
     process = new ControllerProcess("n-0", false, settings);
     state.txnOpsLimit = 2;
     state.valueBytesLimit = Math.min(valueKb, nextValueKb) * 1024;
-    List<String> all = new ArrayList<>();
-    for (int n = 1000; n < 1000 + refused; n++) {
-      all.add("wk-" + n);
+    List<String> dependencies = new ArrayList<>();
+    for (int n = 1000; n < 1000 + rejectedCount; n++) {
+      dependencies.add("wk-" + n);
       state.put("f/wk-" + n, Json.object().put("State", "done"));
     }
     loop.advance(2);
-    process.request("POST", "/work", job("wk-1", 1).withDependencies(all).toJson(), 400);
-    submit(job("wk-1", 1).withDependencies(all.subList(0, accepted)));
-    process.request("POST", "/work", job("wk-1", 1).withDependencies(all).toJson(), 200);
+    process.request("POST", "/work", job("wk-1", 1).withDependencies(dependencies).toJson(), 400);
+    submit(job("wk-1", 1).withDependencies(dependencies.subList(0, acceptedCount)));
+    process.request("POST", "/work", job("wk-1", 1).withDependencies(dependencies).toJson(), 200);
     loop.advance(DEFAULT_RUNTIME_S + 10);
     assertEquals("done", status("wk-1"));
     assertEquals(0, state.invalidTransactions);
--- a/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
+++ b/src/test/java/org/saffronshore/control/IsolatedControllerTest.java
@@ -171,12 +171,12 @@
         new Controller(
             loop,
             settings,
-            (to, method, path, body, timeoutS, then) -> {
+            (to, method, path, body, timeoutS, callback) -> {
               boolean responds = path.startsWith("/peer/") && !unreachable.contains(to);
               loop.schedule(
                   responds ? 0.001 : timeoutS,
                   () ->
-                      then.onResponse(
+                      callback.onResponse(
                           responds
                               ? new Response(
                                   200,
@@ -232,7 +232,7 @@
    */
   @ParameterizedTest
   @CsvSource({"2, false", "4, true"})
-  void lateWithdrawalOfACampaignIsIgnored(long number, boolean counts)
+  void lateWithdrawalOfACampaignIsIgnored(long number, boolean accepted)
       throws InvalidFieldException {
     process.crashed = true;
     state.unreachable = true;
@@ -242,7 +242,7 @@
     assertFalse(requestIsGranted("/peer/vote", "n-2", "y", 1, 8), "the lease is granted to n-1");
     assertTrue(requestIsGranted("/peer/vote", "n-1", "x", 3, 7));
     requestIsGranted("/peer/giveup", "n-1", "x", number, 7);
-    assertEquals(counts, requestIsGranted("/peer/vote", "n-2", "y", 2, 8));
+    assertEquals(accepted, requestIsGranted("/peer/vote", "n-2", "y", 2, 8));
     assertFalse(
         requestIsGranted("/peer/vote", "n-2", "y", 2, 8),
         "a duplicate request must not be granted");
--- a/src/test/java/org/saffronshore/control/MalformedMessageTest.java
+++ b/src/test/java/org/saffronshore/control/MalformedMessageTest.java
@@ -20,7 +20,7 @@
 import org.saffronshore.wire.Json;
 import org.saffronshore.wire.Priority;
 
-/** Malformed stored values and peer messages do not stop a controller. */
+/** Malformed stored values and peer messages are logged and do not stop a controller. */
 class MalformedMessageTest extends ClusterSimulation {
 
   private static JsonNode json(String text) {
--- a/src/test/java/org/saffronshore/control/RandomFaultsTest.java
+++ b/src/test/java/org/saffronshore/control/RandomFaultsTest.java
@@ -93,14 +93,14 @@
    * Crashes all controllers during an outage of the state service, and restarts them within 0.2 s.
    */
   private void restartAllControllersDuringAnOutage() {
-    double from = loop.now();
+    double startedAt = loop.now();
     setOutage(true, 0);
     advanceAndCheckRules(random.nextDouble());
     List.of("n-0", "n-1", "n-2").forEach(name -> processes.get(name).crashed = true);
     advanceAndCheckRules(0.2 * random.nextDouble());
     List.of("n-0", "n-1", "n-2").forEach(this::startController);
     advanceAndCheckRules(random.nextDouble());
-    setOutage(false, loop.now() - from);
+    setOutage(false, loop.now() - startedAt);
   }
 
   /**
@@ -150,9 +150,9 @@
             });
       }
       case 6 -> {
-        boolean over = !Double.isNaN(outageStartedAt);
-        setOutage(!over, over ? loop.now() - outageStartedAt : 0);
-        outageStartedAt = over ? Double.NaN : loop.now();
+        boolean inOutage = !Double.isNaN(outageStartedAt);
+        setOutage(!inOutage, inOutage ? loop.now() - outageStartedAt : 0);
+        outageStartedAt = inOutage ? Double.NaN : loop.now();
       }
       case 7, 8 -> {
         for (FakeWorker worker : workers.values()) {
--- a/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
+++ b/src/test/java/org/saffronshore/control/RuleCheckingSimulation.java
@@ -158,17 +158,17 @@
       return;
     }
     view.accepted = true;
-    boolean over = status.equals("done") || status.equals("aborted");
+    boolean hasEnded = status.equals("done") || status.equals("aborted");
     assertTrue(
         view.finalStatus == null || view.finalStatus.equals(status),
         () ->
             view.job.id() + " changed its final status from " + view.finalStatus + " to " + status);
-    if (over) {
+    if (hasEnded) {
       view.finalStatus = status;
     }
     double cancelledAt = cancelledAt(view.job.id());
     assertTrue(
-        over || loop.now() < cancelledAt + CANCEL_S,
+        hasEnded || loop.now() < cancelledAt + CANCEL_S,
         () ->
             view.job.id()
                 + " has status "
@@ -303,7 +303,7 @@
     assertTrue(open.isEmpty(), () -> "jobs without a final status: " + open);
   }
 
-  /** Ends all faults and restarts the crashed controllers. */
+  /** Ends all faults but those of hung machines, and restarts the crashed controllers. */
   void clearFaults() {
     delayedCommitShare = 0;
     delayedCommandShare = 0;
