--- a/src/test/java/org/saffronshore/control/InteractingFaultsTest.java
+++ b/src/test/java/org/saffronshore/control/InteractingFaultsTest.java
@@ -193,10 +193,7 @@
               .toList()
               .forEach(this::startController);
       case "refuse" -> target.refusedByStateService = true;
-      case "isolate" -> {
-        target.refusedByStateService = true;
-        target.peersUnreachable = true;
-      }
+      case "isolate" -> isolate(target);
       case "outage" -> {
         setOutage(true, 0);
         outageStartedAt = loop.now();
@@ -215,8 +212,7 @@
       case "partition" -> {
         isolatedZone = words[1];
         controllerInIsolatedZone = leader();
-        controllerInIsolatedZone.refusedByStateService = true;
-        controllerInIsolatedZone.peersUnreachable = true;
+        isolate(controllerInIsolatedZone);
       }
       case "submit" -> submit(randomController(), job(2));
       case "resubmit" ->
@@ -227,4 +223,10 @@
       default -> throw new AssertionError("unknown step: " + step);
     }
   }
+
+  /** Isolates a controller from the state service and its peers, but not from its workers. */
+  private static void isolate(ControllerProcess controller) {
+    controller.refusedByStateService = true;
+    controller.peersUnreachable = true;
+  }
 }
