--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -166,7 +166,7 @@
       return tasks;
     }
     for (Machine machine : reconciliation.unreconciledMachines()) {
-      for (TaskId task : machine.possibleTasks().namedTasks()) {
+      for (TaskId task : machine.possibleTasks().listedTasks()) {
         if (task.job().equals(job.id())) {
           tasks.clear(task.index());
         }
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -27,7 +27,7 @@
    * Version of the leader's key, with which the term began. Jobs accepted later cannot have been
    * launched by an earlier leader.
    */
-  private final long termVersion;
+  private final long leaderKeyVersion;
 
   /** Invoked after each change that may allow a task to be placed. */
   private final Runnable onChange;
@@ -41,7 +41,7 @@
   JobTable(EventLoop loop, ArrivalStatistics arrivals, long termVersion, Runnable onChange) {
     this.loop = loop;
     this.arrivals = arrivals;
-    this.termVersion = termVersion;
+    this.leaderKeyVersion = termVersion;
     this.onChange = onChange;
   }
 
@@ -58,7 +58,7 @@
    * launched its tasks.
    */
   boolean wasAcceptedBeforeTerm(Job job) {
-    return job.version() < termVersion;
+    return job.version() < leaderKeyVersion;
   }
 
   /**
@@ -75,7 +75,7 @@
     jobs.put(spec.id(), job);
     dependencies.add(spec.id(), spec.priority(), spec.dependencies());
     if (spec.dependencies().isEmpty()) {
-      arrivals.recordJob(spec, version > termVersion, loop.now());
+      arrivals.recordJob(spec, version > leaderKeyVersion, loop.now());
     } else {
       job.markNotReady();
       updateReadiness(job);
@@ -112,7 +112,7 @@
     if (!job.isReady() && dependencies.isReady(job.id())) {
       LOG.debug("All dependencies are done: job={}", job.id());
       job.markReady(dependencies.readyAtMs(job.id()));
-      arrivals.recordJob(job.spec(), job.version() > termVersion, loop.now());
+      arrivals.recordJob(job.spec(), job.version() > leaderKeyVersion, loop.now());
       onChange.run();
     }
   }
--- a/src/main/java/org/saffronshore/cluster/PossibleTasks.java
+++ b/src/main/java/org/saffronshore/cluster/PossibleTasks.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns the tasks that the registry entry lists; empty if the machine may hold any task. */
-  Set<TaskId> namedTasks() {
+  Set<TaskId> listedTasks() {
     return tasks == null ? Set.of() : tasks;
   }
 
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -41,7 +41,7 @@
   private final Resources unknownTeamUsage = zero();
 
   /** The total capacity of the unreconciled machines that may hold anything. */
-  private final Resources mayHoldAnythingCapacity = zero();
+  private final Resources mayHoldAnyTaskCapacity = zero();
 
   /**
    * What possible tasks of open jobs may be using, by team. Includes only tasks that no heartbeat
@@ -124,11 +124,11 @@
   private void addPossibleTasks(Machine machine) {
     Resources remaining = capacity(machine);
     if (machine.possibleTasks().mayBeAnyTask()) {
-      mayHoldAnythingCapacity.add(remaining);
+      mayHoldAnyTaskCapacity.add(remaining);
       return;
     }
     boolean allSpecsKnown = true;
-    for (TaskId task : machine.possibleTasks().namedTasks()) {
+    for (TaskId task : machine.possibleTasks().listedTasks()) {
       Job job = jobs.get(task.job());
       JobSpec spec = job != null ? job.spec() : machine.possibleTasks().specOfEndedJob(task);
       if (spec == null) {
@@ -176,19 +176,19 @@
    * the rest counts against its limit only.
    */
   private void addTotalsToTeams() {
-    Map<String, Resources> launchedNotNamed = launchedButNotNamed();
+    Map<String, Resources> launchedNotNamed = launchedButNotListed();
     Resources zero = zero();
     teams.forEach(
         (name, team) -> {
           Resources open = possibleOpenJobUsage.getOrDefault(name, zero);
           Resources ended = possibleEndedJobUsage.getOrDefault(name, zero);
           Resources launched = launchedNotNamed.getOrDefault(name, zero);
-          double cpus = Math.min(mayHoldAnythingCapacity.cpus, launched.cpus);
-          double gpus = Math.min(mayHoldAnythingCapacity.gpus, launched.gpus);
+          double cpus = Math.min(mayHoldAnyTaskCapacity.cpus, launched.cpus);
+          double gpus = Math.min(mayHoldAnyTaskCapacity.gpus, launched.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
           team.addUnattributed(
-              ended.cpus + unknownTeamUsage.cpus + mayHoldAnythingCapacity.cpus - cpus,
-              ended.gpus + unknownTeamUsage.gpus + mayHoldAnythingCapacity.gpus - gpus);
+              ended.cpus + unknownTeamUsage.cpus + mayHoldAnyTaskCapacity.cpus - cpus,
+              ended.gpus + unknownTeamUsage.gpus + mayHoldAnyTaskCapacity.gpus - gpus);
         });
   }
 
@@ -196,7 +196,7 @@
    * Returns, by team, what waiting tasks of open jobs may be using that earlier leaders may have
    * launched and that no registry entry names.
    */
-  private Map<String, Resources> launchedButNotNamed() {
+  private Map<String, Resources> launchedButNotListed() {
     Map<String, Integer> namedByJob = new HashMap<>();
     countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
