--- a/src/main/java/org/saffronshore/failover/CancellationHorizon.java
+++ b/src/main/java/org/saffronshore/failover/CancellationHorizon.java
@@ -7,9 +7,9 @@
 /**
  * The time up to which a leader knows every cancellation that any controller has confirmed. Reading
  * the cancellations from the state service moves the horizon to the time at which the request was
- * sent. Beyond that, the horizon advances only as far as every peer has reported, without a gap,
- * the cancellations that it learned of: a peer that does not respond, or that was restarted in the
- * meantime, may have confirmed more. All times are seconds on the event loop's clock.
+ * sent. Beyond that, the horizon is the time up to which all peers have reported, without a gap,
+ * the cancellations that they learned of, since a peer that does not respond, or that was restarted
+ * in the meantime, may have confirmed more. All times are seconds on the event loop's clock.
  *
  * <p>The horizon limits how long the leader may keep tasks alive. A cancellation that the leader
  * does not know may have been confirmed right after the horizon, and its tasks must have ended
--- a/src/main/java/org/saffronshore/failover/Failover.java
+++ b/src/main/java/org/saffronshore/failover/Failover.java
@@ -102,15 +102,16 @@
   }
 
   /**
-   * Handles a job that is cancelled in the state service, according to a read or a write of this
-   * controller or a peer.
+   * Handles the cancellation of a job, which this controller or a peer has read from or written to
+   * the state service.
    */
   public void jobCancelled(String job) {
     cancellations.jobCancelled(job);
   }
 
   /**
-   * Handles a peer's report of all cancellations that it learned of since some time.
+   * Handles a peer's report of all cancellations that the peer learned of since {@code
+   * completeSince}.
    *
    * @param peer the peer's node name
    * @param requestedAt when the request to the peer was sent, in seconds on the event loop's clock
--- a/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
+++ b/src/main/java/org/saffronshore/failover/FinishedTasksStore.java
@@ -178,8 +178,8 @@
   }
 
   /**
-   * Adds changed pages with chunks of one length to the transaction. Both lengths take turns if
-   * both have changed pages.
+   * Adds changed pages with chunks of one length to the transaction. If there are changed pages of
+   * both lengths, the lengths take turns.
    */
   private PagedRecords.Batch addChangedPages(Transaction transaction) {
     shortChunksFirst = !shortChunksFirst;
--- a/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
+++ b/src/main/java/org/saffronshore/failover/JobOutcomeWriter.java
@@ -52,7 +52,7 @@
     this.retryDelayS = settings.heartbeatIntervalS() / 6;
   }
 
-  /** Commits the outcome of completed jobs. Users are told that a job is done only after that. */
+  /** Commits the outcome of completed jobs. Users see a job as done only after the commit. */
   void saveCompletedJobs() {
     if (cluster.completedJobs().isEmpty() || loop.now() < retryAt) {
       return;
@@ -96,7 +96,7 @@
 
   /**
    * Commits that a job is cancelled because a job that it depends on is cancelled. Users see the
-   * job as cancelled even before that.
+   * job as cancelled even before the commit.
    *
    * @param callback run when the result is received, unless the term has ended by then
    */
--- a/src/main/java/org/saffronshore/leadership/Election.java
+++ b/src/main/java/org/saffronshore/leadership/Election.java
@@ -18,8 +18,8 @@
 
   /**
    * The number of campaigns without responses from a quorum after which votes are requested through
-   * the state service. Without this, a leader that is cut off could not be replaced while most
-   * peers are unreachable.
+   * the state service. Otherwise a leader that is cut off could not be replaced while most peers
+   * are unreachable.
    */
   private static final int MAX_UNANSWERED_CAMPAIGNS = 2;
 
--- a/src/main/java/org/saffronshore/leadership/LeaderTerm.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderTerm.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Returns whether no other controller may act. This one may not act either while it lacks recent
-   * information on cancellations.
+   * Returns whether this controller holds a lease, so that no other controller may act. It may
+   * itself not act while it lacks recent information on cancellations.
    */
   public boolean holdsLease() {
     return !ended && leadership.holdsLease();
@@ -130,8 +130,9 @@
 
   /**
    * Detects whether this process was paused while its clock continued. At least one periodic task
-   * of the term runs several times per heartbeat interval, so checks are never far apart otherwise.
-   * To be called before missing messages are taken as a sign of failure.
+   * of the term calls this method several times per heartbeat interval, so a long gap between two
+   * calls means that the process was paused. To be called before missing messages are taken as a
+   * sign of failure.
    */
   public void detectPause() {
     double now = loop.now();
--- a/src/main/java/org/saffronshore/leadership/LeaderWatch.java
+++ b/src/main/java/org/saffronshore/leadership/LeaderWatch.java
@@ -32,7 +32,9 @@
   private final Runnable onKeyMissing;
   private @Nullable String leaderNode;
 
-  /** Kept while the state service does not respond, although {@link #leaderNode} is cleared. */
+  /**
+   * The known leader's term; unlike {@link #leaderNode}, kept while the state service is silent.
+   */
   private long leaderTerm = NO_TERM;
 
   private long watchRevision;
--- a/src/main/java/org/saffronshore/leadership/Leadership.java
+++ b/src/main/java/org/saffronshore/leadership/Leadership.java
@@ -44,10 +44,10 @@
     /**
      * Called when this controller was elected and leads the term.
      *
-     * @param keyVersion the version of the leader key; every earlier leader had stopped acting
-     *     before that revision
+     * @param leaderKeyVersion the version of the leader key; every earlier leader had stopped
+     *     acting before that revision
      */
-    void onElected(long term, long keyVersion);
+    void onElected(long term, long leaderKeyVersion);
 
     /** Called when this controller has stepped down. */
     void onSteppedDown(String reason);
@@ -155,15 +155,18 @@
     return holdsLease() && loop.now() < renewalsAllowedUntil;
   }
 
-  /** Returns whether the store lease is valid, whatever the leases of a quorum allow. */
+  /**
+   * Returns whether this controller leads and its store lease is valid, regardless of the leases of
+   * a quorum.
+   */
   public boolean holdsStoreLease() {
     return isLeading() && storeLease.isValid();
   }
 
   /**
    * Sets the deadline until which this leader may renew the leases of workers and launch tasks,
-   * whatever lease it holds itself. After the deadline it could keep a task running for too long
-   * that was cancelled without its knowledge.
+   * regardless of the leases that it holds itself. A renewal or launch after the deadline could
+   * keep a task running for too long that was cancelled without this leader's knowledge.
    *
    * @param deadline in seconds on the event loop's clock
    */
--- a/src/main/java/org/saffronshore/leadership/LeaseRequest.java
+++ b/src/main/java/org/saffronshore/leadership/LeaseRequest.java
@@ -1,7 +1,7 @@
 package org.saffronshore.leadership;
 
 /**
- * A request of another controller for the lease of this one.
+ * A request by another controller for the lease of this controller.
  *
  * @param requester the process that requests the lease
  * @param term the term that the requester leads or is a candidate for
@@ -13,7 +13,7 @@
 
   /** The role of the requester in the term of the request. */
   public enum Role {
-    /** The requester is a candidate, and the request is one for a vote. */
+    /** The requester is a candidate, and requests a vote. */
     CANDIDATE,
     /** The requester already leads the term, and renews the lease. */
     LEADER
--- a/src/main/java/org/saffronshore/leadership/QuorumLease.java
+++ b/src/main/java/org/saffronshore/leadership/QuorumLease.java
@@ -6,14 +6,14 @@
 
 /**
  * The leases that the peers have granted to this leader. While a quorum that includes the leader
- * grants its leases, the leader may act although the state service is unavailable. Each lease is
+ * grants its leases, the leader may act even if the state service is unavailable. Each lease is
  * counted from when its request was sent, with its duration shortened by the possible clock drift.
  */
 final class QuorumLease {
   private final double leaseDurationS;
   private final Quorum quorum;
 
-  /** By peer, when the latest request that the peer granted was sent. */
+  /** The times at which the latest granted requests were sent, by peer. */
   private final Map<String, Double> latestGrantedRequestAt = new HashMap<>();
 
   QuorumLease(double leaseDurationS, Quorum quorum) {
@@ -35,8 +35,9 @@
   }
 
   /**
-   * Returns until when the leases of a quorum are valid, in seconds on the event loop's clock. This
-   * controller counts as a member of the quorum.
+   * Returns the time until which the leases of a quorum are valid, in seconds on the event loop's
+   * clock; positive infinity if there are no peers, and negative infinity if too few peers have
+   * granted their leases. This controller counts as a member of the quorum.
    */
   double validUntil() {
     int peersNeeded = quorum.size() - 1;
