--- a/src/main/java/org/saffronshore/cluster/Attempt.java
+++ b/src/main/java/org/saffronshore/cluster/Attempt.java
@@ -49,12 +49,12 @@
   private int launchesInFlight;
 
   /**
-   * Whether a launch was sent without it being known whether it arrived: it may still arrive as
-   * long as the fencing token and the worker's epoch match.
+   * Whether a launch was sent whose arrival is unknown. Such a launch may still arrive, and is
+   * executed if its fencing token and epoch match those of the worker.
    */
   private boolean deliveryUnknown;
 
-  /** Time in seconds; NaN until this leader has seen the attempt run. */
+  /** See {@link #runningSince()}. */
   private double runningSince = Double.NaN;
 
   /** Whether this leader placed the attempt, and thus knows how long it has been running. */
@@ -221,7 +221,7 @@
     return launchesInFlight > 0;
   }
 
-  /** Returns whether a launch was sent without it being known whether it arrived. */
+  /** Returns whether a launch was sent whose arrival is unknown. */
   boolean isDeliveryUnknown() {
     return deliveryUnknown;
   }
@@ -234,25 +234,25 @@
     return deliveryUnknown || launchesInFlight > 0;
   }
 
-  /** Marks an attempt that a worker has reported as launched by an earlier leader. */
+  /** Marks the attempt as launched by an earlier leader, since a worker has reported it. */
   void markAdopted() {
     launchSent = true;
   }
 
-  /** A direct command with the launch has been sent. */
+  /** Records that the launch was sent in a direct command. */
   void launchSent() {
     launchSent = true;
     launchesInFlight++;
   }
 
-  /** The launch is sent in a response to a heartbeat, whose arrival is never confirmed. */
+  /** Records that the launch is sent in a response to a heartbeat, whose arrival is unconfirmed. */
   void launchSentWithoutConfirmation() {
     launchSent = true;
     deliveryUnknown = true;
   }
 
   /**
-   * A direct command with the launch has completed.
+   * Records the outcome of a direct command with the launch.
    *
    * @return whether no launch of the attempt was executed or can still arrive, so that the launch
    *     now counts as not sent
--- a/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/AttemptLifecycle.java
@@ -28,7 +28,7 @@
   private final CommandQueue commandQueue;
   private final RuntimeEstimator runtimeEstimator;
 
-  /** Invoked after each change that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   private long attemptCounter;
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Places a task on a machine, if the task is still waiting and the machine still schedulable. The
-   * launch is queued at once if the launch watermark covers the task, and otherwise follows once a
-   * higher watermark has been written.
+   * Places a task on a machine, if the task is still waiting and the machine is still schedulable.
+   * The launch is queued at once if the launch watermark covers the task, and otherwise follows
+   * once a higher watermark has been written.
    *
    * @param overdue whether the job is overdue, which exempts the attempt from preemption
    * @return the new attempt, or empty if none was placed
--- a/src/main/java/org/saffronshore/cluster/Cluster.java
+++ b/src/main/java/org/saffronshore/cluster/Cluster.java
@@ -54,14 +54,14 @@
   /**
    * Creates the cluster at the start of a term, without machines or jobs.
    *
-   * @param termVersion the version of the leader's key in the state service when the term began
+   * @param leaderKeyVersion the version of the leader key that was written when this term began
    */
-  public Cluster(EventLoop loop, Settings settings, long term, long termVersion) {
+  public Cluster(EventLoop loop, Settings settings, long term, long leaderKeyVersion) {
     Runnable onChange = () -> changed = true;
     this.term = term;
     this.startedAt = loop.now();
     this.arrivals = new ArrivalStatistics(ARRIVAL_WINDOW_LEASES * settings.workerLeaseS());
-    this.jobs = new JobTable(loop, arrivals, termVersion, onChange);
+    this.jobs = new JobTable(loop, arrivals, leaderKeyVersion, onChange);
     this.machines = new MachineTable(loop, settings);
     this.reconciliation = new Reconciliation(jobs);
     this.registry = new MachineRegistry(loop, machines, onChange);
@@ -148,7 +148,7 @@
   /**
    * Adds an open job. All jobs of earlier terms must be added before the first heartbeat.
    *
-   * @param launchWatermark the index from which on no task has ever been launched
+   * @param launchWatermark tasks with this index or a higher one were never launched
    */
   public void addJob(
       JobSpec spec, long version, long submittedAtMs, BitSet finishedTasks, int launchWatermark) {
@@ -183,8 +183,8 @@
   }
 
   /** Records the outcome of a job. Jobs that depend on it may become ready. */
-  public void jobEnded(String id, boolean done, long atMs) {
-    jobs.jobEnded(id, done, atMs);
+  public void jobEnded(String id, boolean done, long endedAtMs) {
+    jobs.jobEnded(id, done, endedAtMs);
   }
 
   /** Returns a live view of the jobs with finished tasks that are not in the state service yet. */
@@ -306,7 +306,7 @@
     machineLifecycle.expireLeases();
   }
 
-  /** Records that this process was paused until now; see {@link MachineTable#onProcessPause}. */
+  /** Handles the end of a pause of this process; see {@link MachineTable#onProcessPause}. */
   public void onProcessPause() {
     machines.onProcessPause();
   }
@@ -319,8 +319,8 @@
   // Heartbeats
 
   /**
-   * Applies a heartbeat that the worker sent on its own initiative. The response to it renews the
-   * worker's lease.
+   * Applies a heartbeat, as opposed to a status in a response to a command. The response to the
+   * heartbeat renews the worker's lease.
    *
    * @return the machine, or null if it has been removed
    */
@@ -355,7 +355,7 @@
     attempts.preempt(task, machineId, detail);
   }
 
-  /** Stops a machine's tasks, with time to save their progress, so that they go on elsewhere. */
+  /** Stops all attempts on a machine gracefully, so that their tasks are placed elsewhere. */
   public void drain(Machine machine) {
     attempts.drain(machine);
   }
--- a/src/main/java/org/saffronshore/cluster/ClusterView.java
+++ b/src/main/java/org/saffronshore/cluster/ClusterView.java
@@ -129,20 +129,20 @@
   /**
    * Returns the jobs with tasks that may be placed now.
    *
-   * @param canRaiseWatermarks whether launch watermarks can be written; if not, tasks from the
-   *     current launch watermark of their job on have to wait
+   * @param canRaiseWatermarks whether launch watermarks can be written; if not, tasks at or above
+   *     the current launch watermark of their job have to wait
    */
   public List<PendingJob> pendingJobs(boolean canRaiseWatermarks) {
     double now = loop.now();
     List<PendingJob> pendingJobs = new ArrayList<>();
-    boolean anyMayHoldAnything = reconciliation.anyMayHoldAnyTask();
+    boolean anyMayHoldAnyTask = reconciliation.anyMayHoldAnyTask();
     for (Job job : jobs.all()) {
       if (!job.isReady() || job.waitingTasks().isEmpty() || job.isInBackoff(now)) {
         continue;
       }
       BitSet tasks =
           reconciliation.mayRunOnUnreconciledMachine(job)
-              ? waitingTasksNotOnUnreconciled(job, anyMayHoldAnything)
+              ? waitingTasksNotOnUnreconciled(job, anyMayHoldAnyTask)
               : job.waitingTasks();
       if (!canRaiseWatermarks) {
         tasks = tasks.get(0, Math.min(job.launchWatermark(), job.spec().tasks()));
@@ -159,9 +159,9 @@
   }
 
   /** Returns the waiting tasks of the job except for those that unreconciled machines may hold. */
-  private BitSet waitingTasksNotOnUnreconciled(Job job, boolean anyMayHoldAnything) {
+  private BitSet waitingTasksNotOnUnreconciled(Job job, boolean anyMayHoldAnyTask) {
     BitSet tasks = (BitSet) job.waitingTasks().clone();
-    if (anyMayHoldAnything) {
+    if (anyMayHoldAnyTask) {
       tasks.andNot(job.waitingTasksLaunchedBefore());
       return tasks;
     }
--- a/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
+++ b/src/main/java/org/saffronshore/cluster/CommandDispatcher.java
@@ -69,8 +69,8 @@
 
   /**
    * Returns whether the machine's worker can be expected to respond to a batch. An unreconciled
-   * machine that was not heard in this term counts too: it is sent an empty batch to obtain its
-   * status, because tasks of older jobs have to wait until it is known what the machine holds.
+   * machine that was not heard from in this term counts too: it is sent an empty batch to obtain
+   * its status, because tasks of older jobs have to wait until it is known what the machine holds.
    */
   private boolean isExpectedToRespond(Machine machine) {
     return machine.isUp()
--- a/src/main/java/org/saffronshore/cluster/DependencyGraph.java
+++ b/src/main/java/org/saffronshore/cluster/DependencyGraph.java
@@ -23,7 +23,7 @@
   private record OpenJob(Priority ownPriority, List<String> dependencies) {}
 
   /**
-   * How and when a job ended that others depend on.
+   * How and when a job that other jobs depend on has ended.
    *
    * @param done whether the job is done; false if it was cancelled
    * @param endedAtMs wall-clock time in milliseconds
--- a/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/HeartbeatReconciler.java
@@ -25,7 +25,7 @@
   private final UnresponsiveMachineDetector unresponsiveMachines;
   private final CommandQueue commandQueue;
 
-  /** Called after every change that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   HeartbeatReconciler(
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Applies a heartbeat that the worker sent on its own initiative. The response to it renews the
-   * worker's lease.
+   * Applies a heartbeat, as opposed to a status in a response to a command. The response to the
+   * heartbeat renews the worker's lease.
    *
    * @return the machine, or null if it has been removed
    */
@@ -85,7 +85,7 @@
     }
     // A worker that cannot reach any controller still responds to commands, but its lease will
     // expire, so its responses must not end its silence. Only the first status of a machine that
-    // was never heard in this term counts: such a machine is about to find this leader.
+    // was never heard from in this term counts: such a machine is about to find this leader.
     if (!machine.health().wasEverHeardFrom()) {
       machine.health().restartSilenceTimer(loop.now());
     }
@@ -167,14 +167,14 @@
     machine.clearExited();
     // The worker began a new epoch, so its lease expired, although a response that should have
     // renewed it was sent recently. The machine may be receiving no messages at all.
-    double leaseRanUntil =
+    double leaseValidUntil =
         machine.lease().previouslyRenewedAt() + Settings.minLocalDuration(settings.workerLeaseS());
-    if (hadEpoch && now < leaseRanUntil && !machine.health().isUnresponsive()) {
+    if (hadEpoch && now < leaseValidUntil && !machine.health().isUnresponsive()) {
       unresponsiveMachines.markUnresponsive(machine);
     }
     machine.epochs().begin(epoch);
-    // Regardless of when the lease was last renewed: an epoch that is new to this leader may have
-    // begun a moment ago, and its lease runs from then.
+    // An epoch that is new to this leader may have begun a moment ago, and the lease runs from
+    // then, regardless of when it was last renewed.
     machine.lease().recordPossibleRenewal(now);
   }
 
--- a/src/main/java/org/saffronshore/cluster/JobTable.java
+++ b/src/main/java/org/saffronshore/cluster/JobTable.java
@@ -24,12 +24,12 @@
   private final ArrivalStatistics arrivals;
 
   /**
-   * Version of the leader's key, with which the term began. Jobs accepted later cannot have been
-   * launched by an earlier leader.
+   * The version of the leader key that was written when this term began. Tasks of jobs with a
+   * higher version cannot have been launched by an earlier leader.
    */
   private final long leaderKeyVersion;
 
-  /** Invoked after each change that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -38,10 +38,10 @@
   private final Set<Job> completedJobs = new LinkedHashSet<>();
   private final Set<Job> jobsAwaitingLaunchWatermark = new LinkedHashSet<>();
 
-  JobTable(EventLoop loop, ArrivalStatistics arrivals, long termVersion, Runnable onChange) {
+  JobTable(EventLoop loop, ArrivalStatistics arrivals, long leaderKeyVersion, Runnable onChange) {
     this.loop = loop;
     this.arrivals = arrivals;
-    this.leaderKeyVersion = termVersion;
+    this.leaderKeyVersion = leaderKeyVersion;
     this.onChange = onChange;
   }
 
@@ -172,7 +172,8 @@
   }
 
   /**
-   * The state service has stored that tasks of the job below the watermark may have been launched.
+   * Records that the state service has stored a launch watermark: tasks of the job below it may be
+   * launched.
    */
   void launchWatermarkSaved(Job job, int watermark) {
     if (job.launchWatermarkSaved(watermark)) {
--- a/src/main/java/org/saffronshore/cluster/Machine.java
+++ b/src/main/java/org/saffronshore/cluster/Machine.java
@@ -175,7 +175,7 @@
     tasks.setIdleSince(now);
   }
 
-  /** The worker's lease must have expired: messages of its epoch are ignored from now on. */
+  /** Handles the expiry of the worker's lease: messages of its epoch are ignored from now on. */
   void leaseExpired() {
     epochs.expire();
     up = false;
@@ -185,7 +185,10 @@
     return reconciled;
   }
 
-  /** The worker has shown this term's fencing token, so it rejects commands of earlier leaders. */
+  /**
+   * Marks the machine as reconciled: its worker has shown this term's fencing token, so it rejects
+   * commands of earlier leaders.
+   */
   void markReconciled() {
     reconciled = true;
   }
@@ -194,7 +197,9 @@
     return failed;
   }
 
-  /** The cloud reports that the machine has failed: it has stopped and will never run again. */
+  /**
+   * Marks the machine as failed: the cloud reports that it has stopped, and it never runs again.
+   */
   void markFailed() {
     failed = true;
   }
@@ -211,7 +216,7 @@
     return draining;
   }
 
-  /** The tasks of the machine are moved to other machines so that it can be returned. */
+  /** Marks the machine as draining: its tasks are moved elsewhere so that it can be returned. */
   void markDraining() {
     draining = true;
   }
@@ -243,7 +248,7 @@
     return knownToExistSince;
   }
 
-  /** The machine is known to have existed at the given moment. */
+  /** Records that the machine is known to have existed at the given moment. */
   void recordExistence(double moment) {
     knownToExistSince = Math.min(knownToExistSince, moment);
   }
@@ -336,13 +341,13 @@
     tasks.remove(attempt, now);
   }
 
-  /** Nothing runs on the machine any more, and its worker keeps no exited attempts. */
+  /** Records that nothing runs on the machine and that its worker keeps no exited attempts. */
   void allTasksEnded(double now) {
     tasks.clearExited();
     tasks.setIdleSince(now);
   }
 
-  /** The worker has begun a new epoch and kept no exited attempts of the previous one. */
+  /** Removes the exited attempts, which the worker does not keep when it begins a new epoch. */
   void clearExited() {
     tasks.clearExited();
     invalidateView();
@@ -377,7 +382,7 @@
     tasks.clearLastApplied();
   }
 
-  /** Called before the tasks of a heartbeat are applied. */
+  /** Discards the cached view; called before the tasks of a heartbeat are applied. */
   void beforeTasksApplied() {
     cachedView = null;
   }
--- a/src/main/java/org/saffronshore/cluster/MachineHealth.java
+++ b/src/main/java/org/saffronshore/cluster/MachineHealth.java
@@ -86,7 +86,7 @@
   }
 
   /**
-   * A task has failed on the machine.
+   * Records that a task has failed on the machine, and starts a backoff.
    *
    * @param backoffS the backoff per consecutive failure
    */
@@ -99,7 +99,7 @@
     consecutiveFailures = 0;
   }
 
-  /** The machine has refused a task, and gets no others until the backoff ends. */
+  /** Records that the machine has refused a task; it gets no others until the backoff ends. */
   void taskRefused(double backoffEndsAt) {
     backoffUntil = backoffEndsAt;
   }
--- a/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
+++ b/src/main/java/org/saffronshore/cluster/MachineLifecycle.java
@@ -26,8 +26,8 @@
   private static final double MAX_LIST_AGE_LAGS = 2.25;
 
   /**
-   * A lease is treated as expired one heartbeat interval divided by this number after the moment by
-   * which it must have expired.
+   * The heartbeat interval divided by this number is the additional delay after which a lease that
+   * must have expired is treated as expired.
    */
   private static final double EXPIRY_SLACK_DIVISOR = 30;
 
@@ -40,7 +40,7 @@
   private final MachineRegistry registry;
   private final CommandQueue commandQueue;
 
-  /** Called after an event that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   MachineLifecycle(
@@ -67,8 +67,8 @@
   /**
    * Adds a machine on which an earlier leader launched tasks or may have done so.
    *
-   * @param ageS how long ago the machine is certain to have existed. The greater it is, the earlier
-   *     a machine list without the machine proves that it no longer exists
+   * @param ageS how long ago the machine is certain to have existed, in seconds. The greater the
+   *     age, the earlier a machine list without the machine proves that it no longer exists
    * @param possibleTasks all tasks that the machine may hold, or null if it may hold any task
    */
   void addRegistered(String id, double ageS, @Nullable Set<TaskId> possibleTasks) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** The cloud has granted this machine in response to a rental request. */
+  /** Adds a machine that the cloud has granted in response to a rental request. */
   void machineRented(String id, String type, String zone, boolean spot, double requestedAt) {
     if (machines.isRemoved(id)) {
       return;
@@ -157,7 +157,7 @@
     }
   }
 
-  /** The machine no longer exists, and neither does anything that it held. */
+  /** Removes a machine that no longer exists, and ends all attempts on it. */
   void machineRemoved(Machine machine, String reason) {
     LOG.debug(
         "Machine removed: machine={} reason={} tasks={}",
@@ -169,7 +169,7 @@
     registry.machineRemoved(machine);
   }
 
-  /** Handles that nothing runs on the machine any more: all its attempts end. */
+  /** Ends all attempts on a machine on which nothing runs any more. */
   private void endAllAttempts(Machine machine) {
     for (Attempt attempt : machine.tasks().attemptsCopy()) {
       attempts.end(attempt);
@@ -179,7 +179,7 @@
     onChange.run();
   }
 
-  /** The cloud is asked to take the machine back: no further task may be placed on it. */
+  /** Records that the machine's return to the cloud was requested; it gets no new tasks. */
   void markReturning(Machine machine) {
     machine.markReturning();
     onChange.run();
--- a/src/main/java/org/saffronshore/cluster/MachineRegistry.java
+++ b/src/main/java/org/saffronshore/cluster/MachineRegistry.java
@@ -14,7 +14,7 @@
   private final EventLoop loop;
   private final MachineTable machines;
 
-  /** Called after an event that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   private final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Takes the machines whose entries are to list the tasks that they may hold. */
+  /** Removes and returns the cordoned machines whose possible tasks are still to be written. */
   public List<Machine> takeCordonedMachines() {
     List<Machine> cordoned =
         newlyCordonedMachines.stream()
@@ -87,7 +87,7 @@
     return new ArrayList<>(unregisteredMachines);
   }
 
-  /** The state service has confirmed the entries of the machines. */
+  /** Marks machines as registered, since the state service has confirmed their entries. */
   public void markRegistered(List<Machine> registered) {
     for (Machine machine : registered) {
       machine.registryEntry().writeConfirmed();
--- a/src/main/java/org/saffronshore/cluster/MachineTable.java
+++ b/src/main/java/org/saffronshore/cluster/MachineTable.java
@@ -64,7 +64,7 @@
     return machine;
   }
 
-  /** Returns whether the machine was removed, so that a heartbeat of it is a late one. */
+  /** Returns whether the machine was removed. Heartbeats that still arrive from it are late. */
   boolean isRemoved(String id) {
     return removedAt.containsKey(id);
   }
@@ -103,8 +103,8 @@
   // Silence
 
   /**
-   * This controller has just resumed after a pause. Messages that it did not receive in the pause
-   * must not be held against the machines: otherwise hundreds would become silent or unresponsive
+   * Handles the end of a pause of this process. Messages that it could not receive during the pause
+   * must not count as missing: otherwise hundreds of machines would become silent or unresponsive
    * at once. Leases are not extended, since they are counted from the responses that the workers
    * may have received.
    */
--- a/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
+++ b/src/main/java/org/saffronshore/cluster/QuotaAccounting.java
@@ -23,11 +23,11 @@
  *
  * <ul>
  *   <li>A task that a heartbeat has shown, or that this term launches, counts for its team.
- *   <li>If the registry entry of an unreconciled machine names its possible tasks, these count for
+ *   <li>If the registry entry of an unreconciled machine lists its possible tasks, these count for
  *       their teams, even if their job has been cancelled in the meantime.
  *   <li>If a task belongs to a job that ended before this term began, neither its team nor its size
  *       is known. The capacity of its machine less the machine's known tasks counts for every team.
- *   <li>The capacity of an unreconciled machine that may hold anything counts for every team.
+ *   <li>The capacity of an unreconciled machine that may hold any task counts for every team.
  * </ul>
  */
 final class QuotaAccounting {
@@ -40,7 +40,7 @@
   /** The most that tasks of unknown teams may be using; counts for every team. */
   private final Resources unknownTeamUsage = zero();
 
-  /** The total capacity of the unreconciled machines that may hold anything. */
+  /** The total capacity of the unreconciled machines that may hold any task. */
   private final Resources mayHoldAnyTaskCapacity = zero();
 
   /**
@@ -52,7 +52,7 @@
   /** What possible tasks of jobs that ended in this term may be using, by team. */
   private final Map<String, Resources> possibleEndedJobUsage = new HashMap<>();
 
-  /** Possible tasks that are already counted; two registry entries may name the same task. */
+  /** Possible tasks that are already counted; two registry entries may list the same task. */
   private final Set<TaskId> countedPossibleTasks = new HashSet<>();
 
   private QuotaAccounting(
@@ -170,19 +170,19 @@
   }
 
   /**
-   * Adds the totals to the teams. The capacity of the machines that may hold anything counts for
+   * Adds the totals to the teams. The capacity of the machines that may hold any task counts for
    * every team. The part of it that may be used by tasks of the team's open jobs, launched by
-   * earlier leaders and named in no registry entry, counts towards the team's share and its limit;
+   * earlier leaders and listed in no registry entry, counts towards the team's share and its limit;
    * the rest counts against its limit only.
    */
   private void addTotalsToTeams() {
-    Map<String, Resources> launchedNotNamed = launchedButNotListed();
+    Map<String, Resources> launchedNotListed = launchedButNotListed();
     Resources zero = zero();
     teams.forEach(
         (name, team) -> {
           Resources open = possibleOpenJobUsage.getOrDefault(name, zero);
           Resources ended = possibleEndedJobUsage.getOrDefault(name, zero);
-          Resources launched = launchedNotNamed.getOrDefault(name, zero);
+          Resources launched = launchedNotListed.getOrDefault(name, zero);
           double cpus = Math.min(mayHoldAnyTaskCapacity.cpus, launched.cpus);
           double gpus = Math.min(mayHoldAnyTaskCapacity.gpus, launched.gpus);
           team.addPossible(open.cpus + cpus, open.gpus + gpus);
@@ -194,19 +194,19 @@
 
   /**
    * Returns, by team, what waiting tasks of open jobs may be using that earlier leaders may have
-   * launched and that no registry entry names.
+   * launched and that no registry entry lists.
    */
   private Map<String, Resources> launchedButNotListed() {
-    Map<String, Integer> namedByJob = new HashMap<>();
-    countedPossibleTasks.forEach(task -> namedByJob.merge(task.job(), 1, Integer::sum));
+    Map<String, Integer> listedByJob = new HashMap<>();
+    countedPossibleTasks.forEach(task -> listedByJob.merge(task.job(), 1, Integer::sum));
     Map<String, Resources> launched = new HashMap<>();
     for (Job job : jobs.all()) {
       if (reconciliation.mayRunOnUnreconciledMachine(job)) {
-        int notNamed =
-            job.waitingTasksLaunchedBefore().cardinality() - namedByJob.getOrDefault(job.id(), 0);
+        int notListed =
+            job.waitingTasksLaunchedBefore().cardinality() - listedByJob.getOrDefault(job.id(), 0);
         launched
             .computeIfAbsent(job.spec().team(), team -> zero())
-            .add(job.spec(), Math.max(0, notNamed));
+            .add(job.spec(), Math.max(0, notListed));
       }
     }
     return launched;
--- a/src/main/java/org/saffronshore/cluster/RegistryEntry.java
+++ b/src/main/java/org/saffronshore/cluster/RegistryEntry.java
@@ -25,21 +25,21 @@
     return registered || mayExist;
   }
 
-  /** The entry written by an earlier leader was read. */
+  /** Records that an entry written by an earlier leader was read. */
   void loaded(boolean listsPossibleTasks) {
     registered = !listsPossibleTasks;
     cordoned = listsPossibleTasks;
     mayExist = true;
   }
 
-  /** The tasks that the machine may hold are going to be written, so it gets no more tasks. */
+  /** Cordons the machine: it gets no more tasks, and those that it may hold are to be written. */
   void cordon() {
     registered = false;
     cordoned = true;
     mayExist = true;
   }
 
-  /** The entry is going to be replaced by one which says that the machine may hold any task. */
+  /** Uncordons the machine, whose entry will be replaced by one that says it may hold any task. */
   void uncordon() {
     cordoned = false;
   }
--- a/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
+++ b/src/main/java/org/saffronshore/cluster/RuntimeEstimator.java
@@ -16,8 +16,8 @@
   private static final double PRIOR_WEIGHT_S = 200;
 
   /**
-   * The remaining time is never estimated below the expected runtime divided by this, which counts
-   * for tasks that outlast their estimate.
+   * The estimate of the remaining time is at least the expected runtime divided by this number. The
+   * bound takes effect for tasks that outlast their estimate.
    */
   private static final double OVERRUN_DIVISOR = 5;
 
@@ -54,8 +54,8 @@
   }
 
   /**
-   * An attempt has completed its task. Its running time is recorded for its job class if this
-   * leader knows it.
+   * Records the running time of an attempt that has completed its task, by job class. Ignores an
+   * attempt whose running time this leader does not know.
    */
   void attemptCompleted(Attempt attempt, double now) {
     JobSpec job = attempt.job();
--- a/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
+++ b/src/main/java/org/saffronshore/cluster/TaskStatusReconciler.java
@@ -36,7 +36,7 @@
   private final RuntimeEstimator runtimeEstimator;
   private final UnresponsiveMachineDetector unresponsiveMachines;
 
-  /** Invoked after each change that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   TaskStatusReconciler(
--- a/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
+++ b/src/main/java/org/saffronshore/cluster/UnresponsiveMachineDetector.java
@@ -25,8 +25,8 @@
   private static final double MAX_UNRESPONSIVE_SHARE = 0.05;
 
   /**
-   * Lower bound of that limit, for clusters so small that the share would be less than what
-   * individual machine faults can account for.
+   * Minimum number of unresponsive machines that are tolerated, for clusters so small that {@link
+   * #MAX_UNRESPONSIVE_SHARE} of them is less than what individual machine faults can account for.
    */
   private static final int MIN_UNRESPONSIVE_LIMIT = 2;
 
@@ -35,7 +35,7 @@
   private final MachineTable machines;
   private final CommandQueue commandQueue;
 
-  /** Called after an event that may allow a task to be placed. */
+  /** Called after each change that may allow a task to be placed. */
   private final Runnable onChange;
 
   UnresponsiveMachineDetector(
@@ -52,11 +52,11 @@
   }
 
   /**
-   * Marks machines as unresponsive whose heartbeats arrive but that seem to receive nothing: either
-   * they do not show this term's fencing token, or a launch does not take effect. They get no new
-   * tasks and are returned. Their tasks are placed again when the cloud has confirmed the return
-   * or, in the term that launched them, when the machine begins its next epoch: a launch names an
-   * epoch, so no launch of this leader can be executed in a later one.
+   * Marks as unresponsive the machines whose heartbeats arrive but that seem to receive nothing:
+   * either they do not show this term's fencing token, or a launch does not take effect. Such
+   * machines get no new tasks and are returned. Their tasks are placed again when the cloud has
+   * confirmed the return or, in the term that launched them, when the machine begins its next
+   * epoch: a launch names an epoch, so no launch of this leader can be executed in a later one.
    *
    * <p>An epoch that is new to this term proves nothing about the launches of earlier leaders. They
    * may have known that epoch, and a launch of theirs may still arrive in it as long as the machine
@@ -97,7 +97,7 @@
     commandQueue.markDue(machine);
   }
 
-  /** A message of this leader has provably reached the machine. */
+  /** Records proof that a message of this leader has reached the machine. */
   void markResponsive(Machine machine) {
     if (machine.health().isUnresponsive()) {
       machine.health().markResponsive();
--- a/src/main/java/org/saffronshore/cluster/WorkerEpochs.java
+++ b/src/main/java/org/saffronshore/cluster/WorkerEpochs.java
@@ -3,9 +3,8 @@
 import org.saffronshore.wire.Heartbeat;
 
 /**
- * The epoch and sequence of a worker's newest message, kept for all messages and separately for the
- * heartbeats that the worker sends of its own accord. A message that is not newer is late or a
- * copy.
+ * The epoch and sequence of a worker's newest message, kept for all messages and separately for
+ * heartbeats that are not responses to commands. A message that is not newer is late or a copy.
  */
 final class WorkerEpochs {
   private static final long NONE = -1;
@@ -34,7 +33,7 @@
   }
 
   /**
-   * Records a heartbeat that the worker sent of its own accord.
+   * Records a heartbeat that is not a response to a command.
    *
    * @return whether it is the newest such heartbeat and its epoch has not expired
    */
--- a/src/main/java/org/saffronshore/cluster/WorkerLease.java
+++ b/src/main/java/org/saffronshore/cluster/WorkerLease.java
@@ -1,8 +1,8 @@
 package org.saffronshore.cluster;
 
 /**
- * The times at which a worker may have renewed its lease, as far as this leader can tell: the
- * worker renews its lease when it receives the response to a heartbeat.
+ * The times at which a worker may have renewed its lease, as known to this leader. A worker renews
+ * its lease when it receives the response to a heartbeat.
  */
 final class WorkerLease {
   /** Latest moment from which a renewal of the lease may count. */
@@ -17,10 +17,10 @@
   private double newestMessageAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * A heartbeat has arrived whose response renews the lease. A heartbeat that is not the newest
-   * message was sent before the newest message arrived. However late it is, and whether or not it
-   * is a copy, the response to it renews the lease at most as if from that arrival. Copies
-   * therefore cannot extend a lease indefinitely.
+   * Records the arrival of a heartbeat whose response renews the lease. A heartbeat that is not the
+   * newest message was sent before the newest message arrived. However late the heartbeat is, and
+   * whether or not it is a copy, the response to it renews the lease from no later than the arrival
+   * of the newest message. Copies therefore cannot extend a lease indefinitely.
    */
   void heartbeatReceived(boolean newest, double now) {
     if (Double.isNaN(firstRenewedAt)) {
