--- a/src/main/java/org/saffronshore/api/RedirectTracker.java
+++ b/src/main/java/org/saffronshore/api/RedirectTracker.java
@@ -21,8 +21,8 @@
   private static final double RETURN_INTERVALS = 4;
 
   /**
-   * The same for a worker whose last heartbeat was relayed: it sends the next one after one
-   * interval.
+   * The corresponding time for a worker whose last heartbeat was relayed. Such a worker sends the
+   * next heartbeat after one interval.
    */
   private static final double RELAYED_RETURN_INTERVALS = 2;
 
--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -55,7 +55,7 @@
    * Creates the API of a controller.
    *
    * @param machineTypes supplies the cloud's machine types by name; empty while they are not known
-   * @param progress returns the progress of an open job, as far as it is known
+   * @param progress returns the known progress of an open job
    */
   public UserApi(
       EventLoop loop,
@@ -165,7 +165,7 @@
 
   /**
    * Rejects a submission, unless a job of that id was accepted before. An accepted job stays
-   * accepted, whatever a later submission with its id contains.
+   * accepted, regardless of what a later submission with its id contains.
    *
    * @param job the id of the job, or null if the submission has none
    * @param rejection the HTTP status of the rejection
--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -43,7 +43,8 @@
   /**
    * Creates the sender of one term.
    *
-   * @param dueWork run after the response to a batch, to do what has become due by it
+   * @param dueWork run after the response to a batch, which may have made commands, records or a
+   *     scheduling cycle due
    */
   CommandSender(
       Settings settings, Client client, LeaderTerm term, Cluster cluster, Runnable dueWork) {
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -213,13 +213,13 @@
 
   // Leading
 
-  /** Returns the leader of this process, or null unless it may act at this moment. */
+  /** Returns the leader of this process if it may act at this moment, otherwise null. */
   @Nullable Leader activeLeader() {
     return leader != null && leader.term().isActive() ? leader : null;
   }
 
   @Override
-  public void onElected(long term, long keyVersion) {
+  public void onElected(long term, long leaderKeyVersion) {
     metrics.increment(Metrics.Counter.TERMS_LED, 1);
     state.setLeading(true);
     leader =
@@ -237,7 +237,7 @@
                 metrics,
                 quotaMetrics),
             term,
-            keyVersion);
+            leaderKeyVersion);
     leader.cluster().machineTypes(machineTypeCache.machineTypes());
     leader.start();
     machineTypeCache.persist();
--- a/src/main/java/org/saffronshore/control/HeartbeatService.java
+++ b/src/main/java/org/saffronshore/control/HeartbeatService.java
@@ -17,13 +17,13 @@
   private final Cluster cluster;
   private final Runnable dueWork;
 
-  /** The body of a response without commands, encoded once because most responses are such. */
+  /** The body of a response without commands, encoded once since most responses have none. */
   private final byte[] emptyResponse;
 
   /**
    * Creates the service of one term.
    *
-   * @param dueWork run after a heartbeat was received and before it is responded to
+   * @param dueWork run after a heartbeat was applied and before the response is sent
    */
   HeartbeatService(LeaderTerm term, Cluster cluster, Runnable dueWork) {
     this.term = term;
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -49,7 +49,9 @@
     this.startedAt = loop.now();
   }
 
-  /** Checks the state service periodically until the term ends, even while it is not active. */
+  /**
+   * Checks the state service periodically until the term ends, even while this leader is inactive.
+   */
   void start() {
     loop.schedule(heartbeatIntervalS / 12, this::checkStateService);
   }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Logs one line per team that its quota limits in a cycle, regardless of the number of jobs. */
+  /** Logs one line per team whose quota limited its tasks, regardless of the number of jobs. */
   private void logQuotaLimited(SchedulingPlan plan) {
     if (!LOG.isDebugEnabled()) {
       return;
--- a/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
+++ b/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
@@ -5,8 +5,8 @@
 
 /**
  * Detects duplicate messages, and messages that arrive after a later message of the same process.
- * Otherwise a delayed withdrawal would release the leases of a candidate that has since campaigned
- * again and now leads by those leases.
+ * Without this check, a delayed withdrawal would release the leases of a candidate that has since
+ * campaigned again and now leads by those leases.
  */
 final class OutdatedMessageDetector {
   /** The average number of processes per controller whose latest sequence numbers are kept. */
--- a/src/main/java/org/saffronshore/peer/PeerMessage.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessage.java
@@ -34,7 +34,7 @@
     long term,
     @Nullable Map<String, JobProgress> jobProgress) {
 
-  /** The term in a message that is not about one, as from a sender that does not lead. */
+  /** The term in a message that concerns no term, such as a heartbeat of a follower. */
   public static final long NO_TERM = -1;
 
   /** The value that is sent for all longer durations, since infinity cannot be sent. */
--- a/src/main/java/org/saffronshore/peer/PeerReachability.java
+++ b/src/main/java/org/saffronshore/peer/PeerReachability.java
@@ -8,15 +8,15 @@
 
 /**
  * Tracks when peers last responded or sent a message, and when the state service last responded to
- * them, according to what they send. All times are seconds on the event loop's clock.
+ * them, as they report. All times are seconds on the event loop's clock.
  */
 public final class PeerReachability {
   /** The number of intervals without a response after which a peer is not waited for. */
   private static final int MAX_MISSED_HEARTBEATS = 3;
 
   /**
-   * By how many intervals a peer's last response of the state service must be later than this
-   * controller's. A smaller lead may be due to chance.
+   * The number of intervals by which the state service's last response to a peer must be later than
+   * that to this controller. A smaller difference may be due to chance.
    */
   private static final int MIN_LEAD_INTERVALS = 2;
 
@@ -64,9 +64,9 @@
   }
 
   /**
-   * Returns whether a response of the peer is worth waiting for. It is not once the peer has not
-   * responded for {@link #MAX_MISSED_HEARTBEATS} intervals; a peer that never responded is waited
-   * for, since it may not have been sent a message yet.
+   * Returns whether a candidate should wait for a response of the peer: the peer has responded
+   * within the last {@link #MAX_MISSED_HEARTBEATS} intervals, or it has never responded, since it
+   * may not have been sent a message yet.
    */
   boolean isResponseExpected(Peer peer) {
     return loop.now()
