--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -157,6 +157,7 @@
   }
 
   private static void respondUnavailable(Responder responder) {
-    responder.retryLater(503, "the state service does not answer", RETRY_AFTER_S);
+    responder.retryLater(
+        503, "settings unknown: no valid response from the state service", RETRY_AFTER_S);
   }
 }
--- a/src/test/java/org/saffronshore/compatibility/AdministrationTest.java
+++ b/src/test/java/org/saffronshore/compatibility/AdministrationTest.java
@@ -18,7 +18,8 @@
   private static final String DEFAULT_SETTINGS =
       "{\"period_s\":5.0,\"eviction_probability\":0.1,\"gpu_weight\":1.0,\"memory_weight\":0.0,"
           + "\"team_weights\":{}}";
-  private static final String STATE_SERVICE_UNAVAILABLE = "the state service does not answer";
+  private static final String STATE_SERVICE_UNAVAILABLE =
+      "settings unknown: no valid response from the state service";
 
   private final ControllerHarness controller = new ControllerHarness();
 
