--- a/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
+++ b/src/main/java/org/saffronshore/autoscaling/Autoscaler.java
@@ -85,8 +85,8 @@
 
   /**
    * Returns whether machines may be rented now. A leader other than the first one waits for the lag
-   * of the cloud's machine list: the machines that the previous leader rented last are not listed
-   * before that, and machines would be rented twice for the same tasks.
+   * of the cloud's machine list: the machines that the previous leader rented last may not be
+   * listed until then, and machines would be rented twice for the same tasks.
    */
   private boolean mayRent() {
     return term.isActive()
--- a/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityBackoff.java
@@ -31,7 +31,7 @@
   /**
    * Returns whether machines of the kind may be requested.
    *
-   * @param now the time by the event loop's clock
+   * @param now the time on the event loop's clock
    */
   boolean mayRequest(MachineKind kind, double now) {
     Refusal refusal = refusals.get(kind);
--- a/src/main/java/org/saffronshore/autoscaling/CapacityForecast.java
+++ b/src/main/java/org/saffronshore/autoscaling/CapacityForecast.java
@@ -46,7 +46,7 @@
   /**
    * Returns the tasks of the queue that would start too late. The timelines are modified.
    *
-   * @param latestStart the latest acceptable start of a job's tasks, by the event loop's clock
+   * @param latestStart the latest acceptable start of a job's tasks, on the event loop's clock
    */
   List<SchedulingPlan.UnplacedTasks> lateTasks(
       List<Forecast.MachineTimeline> timelines,
--- a/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
+++ b/src/main/java/org/saffronshore/autoscaling/MachineListPoller.java
@@ -43,8 +43,9 @@
    * Requests one page of the list.
    *
    * @param after id of the last machine on the previous page; empty for the first page
-   * @param listed ids of the machines on the previous pages; those on this page are added
-   * @param startedAt time at which the first page was requested, by the event loop's clock
+   * @param listed ids of the machines on the previous pages; the ids on this page are added to the
+   *     set
+   * @param startedAt time at which the first page was requested, on the event loop's clock
    */
   private void requestPage(String after, Set<String> listed, double startedAt) {
     cloud.listMachines(after, page -> onPageReceived(page, after, listed, startedAt));
--- a/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
+++ b/src/main/java/org/saffronshore/autoscaling/RentalOrders.java
@@ -28,7 +28,7 @@
   /**
    * An order whose outcome is not known yet.
    *
-   * @param requestedAt time at which the order was placed, by the event loop's clock
+   * @param requestedAt time at which the order was placed, on the event loop's clock
    */
   record RentalOrder(RentalRequest request, double requestedAt) {
     MachineKind kind() {
@@ -109,8 +109,7 @@
     boolean unknown = result.outcome() == RentalResult.Outcome.UNKNOWN;
     if (unknown && term.isActive()) {
       // The cloud may have rented out the machines. Only a request under the same name shows
-      // whether
-      // it did, and does not rent machines a second time.
+      // whether it did, without renting machines a second time.
       loop.schedule(retryDelayS, () -> send(order));
       return;
     }
--- a/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleIn.java
@@ -109,8 +109,7 @@
       return Optional.of(ReturnReason.PREEMPTION_NOTICE);
     }
     // While the state service is unavailable, no jobs can be accepted and no tasks launched above
-    // the
-    // launch watermark. Idle machines then do not show that fewer machines are needed.
+    // the launch watermark. Idle machines then do not show that fewer machines are needed.
     boolean idle =
         term.holdsStoreLease()
             && now > machine.idleSince() + IDLE_BOOT_SHARE * bootS
--- a/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
+++ b/src/main/java/org/saffronshore/autoscaling/ScaleOut.java
@@ -123,10 +123,10 @@
 
   /**
    * Rents machines for the tasks that are expected to arrive while a machine boots, queued behind
-   * the waiting ones. Without them, a queue that could just be cleared within one boot time would
-   * not get shorter while tasks keep arriving. Only spot machines are rented unless there is a
-   * backlog: on-demand machines for tasks that may not arrive cost more than the avoided waits are
-   * worth.
+   * the waiting tasks. Without these machines, a queue that could just be cleared within one boot
+   * time would not get shorter while tasks keep arriving. Only spot machines are rented unless
+   * there is a backlog: on-demand machines for tasks that may not arrive cost more than the avoided
+   * waits are worth.
    */
   private void rentForExpectedArrivals(Demand demand) {
     List<SchedulingPlan.UnplacedTasks> queue = new ArrayList<>(demand.unplaced);
@@ -182,8 +182,8 @@
     if (displaced.isEmpty()) {
       return;
     }
-    // Only what is free on the other machines now is counted. What running tasks release will be
-    // taken by tasks like them, which keep arriving.
+    // Only resources that are free now on the other machines are counted. Resources that running
+    // tasks release will be used by similar tasks, which keep arriving.
     List<Forecast.MachineTimeline> otherTimelines =
         forecast.timelines(false).stream()
             .filter(timeline -> !scarce.contains(timeline.kind().type()))
--- a/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
+++ b/src/main/java/org/saffronshore/autoscaling/SpareCapacity.java
@@ -26,7 +26,7 @@
   /**
    * Counts the free resources on the machines of the cluster.
    *
-   * @param now the time by the event loop's clock
+   * @param now the time on the event loop's clock
    * @param excluded matches machines that are not counted because they are being returned
    */
   SpareCapacity(Cluster cluster, BootTimes bootTimes, double now, Predicate<Machine> excluded) {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Returns whether without this machine a typical job of some class would not find enough free
-   * resources.
+   * Returns whether a typical job of some class would not find enough free resources without this
+   * machine.
    */
   boolean needs(Machine machine) {
     return fittingTasks.entrySet().stream()
@@ -65,7 +65,7 @@
     return fitting > 0 && fittingOnAll - fitting < expected.tasks() * JOBS_PER_CLASS;
   }
 
-  /** Removes a machine that is to be returned from the counted capacity. */
+  /** Stops counting the free resources of a machine that is to be returned. */
   void remove(Machine machine) {
     fittingTasks.replaceAll((expected, sum) -> sum - fittingTasksOn(machine, expected));
     freeByMachine.remove(machine);
--- a/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
+++ b/src/main/java/org/saffronshore/fleet/ArrivalStatistics.java
@@ -17,8 +17,8 @@
   private static final double EPSILON = 1e-6;
 
   /**
-   * A class is no longer expected when none of its jobs has arrived for this many times its mean
-   * gap.
+   * Jobs of a class are no longer expected when none has arrived for this many times the mean gap
+   * between their arrivals.
    */
   private static final double MAX_GAPS_SINCE_LAST_ARRIVAL = 3;
 
--- a/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
+++ b/src/main/java/org/saffronshore/fleet/DisplacedTasks.java
@@ -17,6 +17,7 @@
  * function.
  */
 public final class DisplacedTasks {
+  /** The minimum number of CPUs that a task counts for as a divisor, so that it is never 0. */
   private static final double MIN_CPUS_PER_TASK = 1e-3;
 
   /** The number of tasks of a job that run on machines of a type. */
--- a/src/main/java/org/saffronshore/scheduling/MachineView.java
+++ b/src/main/java/org/saffronshore/scheduling/MachineView.java
@@ -127,12 +127,14 @@
     return preemptibleTasks;
   }
 
-  /** Returns whether the machine may have preemptible tasks of a lower priority than this one. */
+  /**
+   * Returns whether the machine may have preemptible tasks of a lower priority than the given one.
+   */
   boolean mayHaveTasksBelow(Priority priority) {
     return lowestPriorityRank < priority.rank();
   }
 
-  /** Returns whether the machine has tasks of any other team. */
+  /** Returns whether the machine has tasks of any team other than the given one. */
   boolean hasTasksOfOtherTeams(String team) {
     return tasksPerTeam.size() > 1 || (tasksPerTeam.size() == 1 && !tasksPerTeam.containsKey(team));
   }
--- a/src/main/java/org/saffronshore/scheduling/PendingJob.java
+++ b/src/main/java/org/saffronshore/scheduling/PendingJob.java
@@ -24,7 +24,7 @@
    *
    * @param submissionOrder the position in the order of submission; among jobs that are otherwise
    *     equal, the job with the smaller value is placed first
-   * @param waitingTasks the indices of the waiting tasks; not modified here, and must not be
+   * @param waitingTasks the indexes of the waiting tasks; not modified here, and must not be
    *     modified while the cycle runs
    * @param tasksPerZone the number of the job's other tasks in each zone; only used if {@link
    *     #hasZoneConstraint} is true for the job
--- a/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
+++ b/src/main/java/org/saffronshore/scheduling/QuotaUsage.java
@@ -18,8 +18,8 @@
    * @param launched used by all tasks that are on machines, are being launched, or were placed in
    *     this cycle
    * @param possible used by tasks of open jobs that may be on unreconciled machines
-   * @param unattributed used by tasks that may be on unreconciled machines and belong to no open
-   *     job, as far as known; named {@code possibly_held} in log lines and metrics
+   * @param unattributed used by tasks that may be on unreconciled machines and are not known to
+   *     belong to an open job; named {@code possibly_held} in log lines and metrics
    * @param limit the maximum that the team may use; 0 for no limit
    */
   public record Amounts(
--- a/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
+++ b/src/main/java/org/saffronshore/scheduling/SchedulingPlan.java
@@ -48,7 +48,7 @@
    * @param tasks the number of tasks
    * @param onlyByUnreconciled whether the limit is reached only because of the resources that may
    *     be in use on unreconciled machines
-   * @param usage the usage that counted against the limit at that moment
+   * @param usage the usage that counted against the limit when the tasks were not placed
    */
   public record QuotaLimitedTasks(
       JobSpec job, int tasks, boolean onlyByUnreconciled, QuotaUsage usage) {}
--- a/src/main/java/org/saffronshore/scheduling/Team.java
+++ b/src/main/java/org/saffronshore/scheduling/Team.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Adds resources that may be in use on unreconciled machines by tasks that belong to no open job,
-   * as far as known. They count against the limit only.
+   * Adds resources that may be in use on unreconciled machines by tasks that are not known to
+   * belong to an open job. These resources count against the limit only.
    */
   public void addUnattributed(double cpus, double gpus) {
     unattributed.add(new Resources(cpus, gpus, 0));
@@ -149,15 +149,15 @@
 
   /**
    * Returns whether the team's share would still meet its guarantee without one task of the job,
-   * which is one of the team's own.
+   * which must be a job of this team.
    */
   boolean isGuaranteeMetWithout(JobSpec job) {
     return !isBelowGuaranteeWithout(job.cpus(), job.gpus());
   }
 
   /**
-   * Returns whether the team's share would be below its guarantee without these tasks, which are
-   * the team's own.
+   * Returns whether the team's share would be below its guarantee without the given resources,
+   * which must be used by tasks of this team.
    */
   boolean isBelowGuaranteeWithout(Resources tasks) {
     return isBelowGuaranteeWithout(tasks.cpus, tasks.gpus);
--- a/src/main/java/org/saffronshore/state/CancellationLog.java
+++ b/src/main/java/org/saffronshore/state/CancellationLog.java
@@ -6,8 +6,8 @@
 
 /**
  * The cancellations that this process committed or read, in the order in which it learned of them.
- * They are kept for as long as a cancellation may take. Controllers send them to the leader, which
- * may be unable to read them from the state service itself.
+ * They are kept for the time that a cancellation may take. Controllers send them to the leader,
+ * which may be unable to read them from the state service itself.
  */
 final class CancellationLog {
   /** The maximum number of cancellations that are kept. */
--- a/src/main/java/org/saffronshore/state/CommitResult.java
+++ b/src/main/java/org/saffronshore/state/CommitResult.java
@@ -10,9 +10,10 @@
 /**
  * The result of a transaction.
  *
- * @param revision the version of every key that it changed; 0 unless it was committed
- * @param conflictingKeys the keys whose conditions did not hold, as far as the state service names
- *     them
+ * @param revision the version of every key that the transaction changed; 0 unless the transaction
+ *     was committed
+ * @param conflictingKeys the keys that the state service named because their conditions did not
+ *     hold; other conditions may have failed too
  */
 public record CommitResult(Outcome outcome, long revision, Set<String> conflictingKeys) {
 
--- a/src/main/java/org/saffronshore/state/FinishedTasksChunk.java
+++ b/src/main/java/org/saffronshore/state/FinishedTasksChunk.java
@@ -9,10 +9,11 @@
 import org.saffronshore.wire.Json;
 
 /**
- * The stored form of a job's finished tasks: one entry for each of the equally long ranges of task
- * indexes, so that an entry fits into a value of the state service. Chunks of the standard length
- * are under {@link Keys#FINISHED_TASKS} and hold only the bits; shorter chunks are under {@link
- * Keys#FINISHED_TASKS_SHORT_CHUNKS} and also hold their length.
+ * One chunk of a job's finished tasks, with its stored form. A job's task indexes are divided into
+ * ranges of equal length with one entry each, so that an entry fits into a value of the state
+ * service. Chunks of the standard length are under {@link Keys#FINISHED_TASKS} and hold only the
+ * bits; shorter chunks are under {@link Keys#FINISHED_TASKS_SHORT_CHUNKS} and also hold their
+ * length.
  *
  * @param length the number of task indexes that the chunk covers
  * @param tasks the finished tasks, as indexes relative to the start of the chunk
@@ -42,7 +43,7 @@
   /**
    * Reads a chunk that holds its length.
    *
-   * @param defaultLength the length of a chunk that holds none
+   * @param defaultLength the length of a chunk whose stored form has no length
    * @throws InvalidFieldException when the bits cannot be read
    */
   public static FinishedTasksChunk parseShort(JsonNode stored, int defaultLength)
--- a/src/main/java/org/saffronshore/state/GetResult.java
+++ b/src/main/java/org/saffronshore/state/GetResult.java
@@ -9,7 +9,7 @@
  * The result of reading one key.
  *
  * @param value the stored form; null unless the key was found
- * @param version the revision of the key's last change; 0 unless it was found
+ * @param version the revision of the key's last change; 0 unless the key was found
  * @param leaseId the lease that the key is attached to; 0 for none
  */
 public record GetResult(Presence presence, @Nullable JsonNode value, long version, long leaseId) {
@@ -19,7 +19,9 @@
     FOUND,
     MISSING,
 
-    /** The request was not sent, got no response, or failed with a status other than 404. */
+    /**
+     * The request was not sent, got no response, or got one with neither a value nor status 404.
+     */
     UNKNOWN
   }
 
--- a/src/main/java/org/saffronshore/state/JobCache.java
+++ b/src/main/java/org/saffronshore/state/JobCache.java
@@ -34,11 +34,11 @@
   record OpenJob(long version, List<String> dependencies) {}
 
   /**
-   * A set of jobs with all of their direct and transitive dependencies, as far as these are known.
+   * A set of jobs with all of their known direct and transitive dependencies.
    *
    * @param open jobs that were open when they were last read, and have no known outcome
    * @param unread jobs of which neither a record nor an outcome is known
-   * @param cancelled whether one of them is known to be cancelled
+   * @param cancelled whether any of these jobs is known to be cancelled
    */
   record Closure(Set<String> open, List<String> unread, boolean cancelled) {}
 
@@ -94,7 +94,10 @@
     return outcomes.containsKey(id) || openJobs.containsKey(id);
   }
 
-  /** Follows the dependencies of the given jobs as far as they are known. */
+  /**
+   * Collects the given jobs and their direct and transitive dependencies. The dependencies of a job
+   * that is not in the cache are unknown and not followed.
+   */
   Closure closure(Collection<String> jobs) {
     Set<String> open = new LinkedHashSet<>();
     Set<String> unread = new LinkedHashSet<>();
--- a/src/main/java/org/saffronshore/state/JobCanceller.java
+++ b/src/main/java/org/saffronshore/state/JobCanceller.java
@@ -6,7 +6,10 @@
 
 /** Cancels jobs on behalf of users. */
 final class JobCanceller {
-  /** The maximum number of transactions per cancellation; a conflict leads to another one. */
+  /**
+   * The maximum number of transactions per cancellation. After a conflict, the job is read again
+   * and another transaction is sent.
+   */
   private static final int MAX_TRIES = 3;
 
   private final EventLoop loop;
@@ -33,7 +36,10 @@
     this.onOutcome = onOutcome;
   }
 
-  /** Cancels a job that is open; the callback receives the job's status afterwards. */
+  /**
+   * Cancels a job if it is open. The callback receives the job's resulting status; UNKNOWN when it
+   * could not be determined.
+   */
   void cancel(String id, Consumer<JobStatus> callback) {
     cancel(id, MAX_TRIES, callback);
   }
--- a/src/main/java/org/saffronshore/state/JobLookup.java
+++ b/src/main/java/org/saffronshore/state/JobLookup.java
@@ -14,7 +14,7 @@
  * conditions and no writes proves in one request.
  */
 final class JobLookup {
-  /** The maximum number of rounds of a look-up; a new one begins when a dependency has ended. */
+  /** The maximum number of rounds of a look-up; a new round begins when a dependency has ended. */
   private static final int MAX_TRIES = 4;
 
   /** The number of checking transactions above which listing all open jobs costs less. */
@@ -91,7 +91,10 @@
       }
     }
 
-    /** Reads one more level of dependencies, so that there are as many reads as levels. */
+    /**
+     * Reads all unread jobs of one level of dependencies together, so that a look-up needs one
+     * round of reads per level.
+     */
     private void readUnread(List<String> unread) {
       reader.readAll(
           unread,
--- a/src/main/java/org/saffronshore/state/JobOutcome.java
+++ b/src/main/java/org/saffronshore/state/JobOutcome.java
@@ -8,8 +8,9 @@
  *
  * @param status DONE or CANCELLED; NOT_FOUND when the job has no outcome, UNKNOWN when none could
  *     be read
- * @param atMs the time of day at which the job ended, in milliseconds since the epoch; 0 when it
- *     was not recorded. The times of jobs that depend on this one count from then
+ * @param atMs the time of day at which the job ended, in milliseconds since the epoch; 0 when the
+ *     time was not recorded. The waiting times of jobs that depend on this one are measured from
+ *     this time
  */
 public record JobOutcome(JobStatus status, long atMs) {
   static final JobOutcome NOT_FOUND = new JobOutcome(JobStatus.NOT_FOUND, 0);
--- a/src/main/java/org/saffronshore/state/JobRecord.java
+++ b/src/main/java/org/saffronshore/state/JobRecord.java
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Reads only the ids of the jobs that this one depends on. Readers that follow dependencies need
-   * nothing else, and a record whose other fields cannot be read still belongs to an open job.
+   * Reads only the ids of the jobs that the stored job depends on. Readers that follow dependencies
+   * need nothing else, and a record whose other fields cannot be read still belongs to an open job.
    */
   static List<String> parseDependencies(JsonNode stored) {
     List<String> dependencies = new ArrayList<>();
--- a/src/main/java/org/saffronshore/state/JobStore.java
+++ b/src/main/java/org/saffronshore/state/JobStore.java
@@ -47,19 +47,25 @@
     submissions.submit(job, submittedMs, callback);
   }
 
-  /** Looks up the status of a job, which is also CANCELLED when a job that it depends on is. */
+  /**
+   * Looks up the status of a job. The status is CANCELLED also when a direct or transitive
+   * dependency is cancelled.
+   */
   public void lookUp(String id, Consumer<JobStatus> callback) {
     lookup.lookUp(id, callback);
   }
 
-  /** Cancels a job that is open; the callback receives the job's status afterwards. */
+  /**
+   * Cancels a job if it is open. The callback receives the job's resulting status; UNKNOWN when it
+   * could not be determined.
+   */
   public void cancel(String id, Consumer<JobStatus> callback) {
     canceller.cancel(id, callback);
   }
 
   /**
-   * Reads the outcomes of the given jobs: NOT_FOUND for a job that has none, UNKNOWN for one whose
-   * outcome could not be read.
+   * Reads the outcomes of the given jobs: NOT_FOUND for a job that has no outcome, UNKNOWN for a
+   * job whose outcome could not be read.
    */
   public void readOutcomes(Collection<String> ids, Consumer<Map<String, JobOutcome>> callback) {
     outcomes.readAll(ids, callback);
@@ -74,8 +80,8 @@
   }
 
   /**
-   * Sets the listener that is called at once when this process first commits or reads a
-   * cancellation.
+   * Sets the listener that is called with a job's id at once when this process first commits or
+   * reads the job's cancellation.
    */
   public void onCancelled(Consumer<String> listener) {
     cancellationListener = listener;
--- a/src/main/java/org/saffronshore/state/LaunchWatermarkEntry.java
+++ b/src/main/java/org/saffronshore/state/LaunchWatermarkEntry.java
@@ -8,14 +8,14 @@
  * The stored form of a job's launch watermark: an entry of the pages under {@link
  * Keys#LAUNCH_WATERMARKS}, named after the job.
  *
- * @param watermark the index from which on no task of the job was ever launched
+ * @param watermark a task index; no task of the job with this or a higher index was ever launched
  */
 public record LaunchWatermarkEntry(int watermark) {
 
   /**
    * Reads a stored value.
    *
-   * @throws InvalidFieldException when it is not a number
+   * @throws InvalidFieldException when the value is not a number in the range of an int
    */
   public static LaunchWatermarkEntry parse(JsonNode stored) throws InvalidFieldException {
     if (!stored.canConvertToInt()) {
--- a/src/main/java/org/saffronshore/state/LeaderRecord.java
+++ b/src/main/java/org/saffronshore/state/LeaderRecord.java
@@ -18,7 +18,7 @@
   private static final String INCARNATION_FIELD = "Life";
   private static final String TERM_FIELD = "Term";
 
-  /** Reads a stored value; a missing field is not known. */
+  /** Reads a stored value. The value of a missing field is not known. */
   public static LeaderRecord parse(JsonNode stored) {
     return new LeaderRecord(
         Json.text(stored, CONTROLLER_FIELD),
--- a/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
+++ b/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
@@ -25,7 +25,10 @@
   private static final String WRITTEN_FIELD = "At";
   private static final String POSSIBLE_TASKS_FIELD = "Held";
 
-  /** The time of an entry without one: the machine counts as registered just now. */
+  /**
+   * The time that is assumed for an entry without a time: the machine counts as registered just
+   * now.
+   */
   private static final long UNKNOWN_TIME_MS = Long.MAX_VALUE / 2;
 
   /** Returns the entry of a machine that receives tasks, and therefore may hold any task. */
@@ -38,10 +41,7 @@
     return new MachineRegistryEntry(writtenAtMs, Optional.of(List.copyOf(tasks)));
   }
 
-  /**
-   * Reads a stored value. If its tasks cannot be read, nothing is known of them, and the machine
-   * may hold any task.
-   */
+  /** Reads a stored value. If the possible tasks cannot be read, the machine may hold any task. */
   public static MachineRegistryEntry parse(JsonNode stored) {
     return new MachineRegistryEntry(
         Json.integer(stored, WRITTEN_FIELD, UNKNOWN_TIME_MS),
--- a/src/main/java/org/saffronshore/state/OpenJobChecker.java
+++ b/src/main/java/org/saffronshore/state/OpenJobChecker.java
@@ -21,7 +21,10 @@
   /** The maximum fraction of the controller's share of the request rate for checks. */
   private static final double MAX_RATE_FRACTION = 0.5;
 
-  /** A check of several jobs; it completes when all have a result, or one cannot be checked. */
+  /**
+   * A check of several jobs, which completes when all jobs have a result or any job cannot be
+   * checked.
+   */
   private static final class Check {
     private final Consumer<Optional<Set<String>>> callback;
     private final Set<String> ended = new HashSet<>();
--- a/src/main/java/org/saffronshore/state/OutcomeReader.java
+++ b/src/main/java/org/saffronshore/state/OutcomeReader.java
@@ -92,7 +92,10 @@
         });
   }
 
-  /** Records the outcomes in a page. Other jobs up to its last key are known to have none. */
+  /**
+   * Records the outcomes in a page. Remaining jobs that sort before the page's last key have no
+   * outcome; if the page is the last one, all remaining jobs have none.
+   */
   private void recordPage(
       ListingPage page, NavigableSet<String> remaining, Map<String, JobOutcome> outcomes) {
     for (StoredEntry entry : page.entries()) {
--- a/src/main/java/org/saffronshore/state/ProtocolFields.java
+++ b/src/main/java/org/saffronshore/state/ProtocolFields.java
@@ -20,10 +20,10 @@
   /** The revision of the whole store. */
   static final String REVISION = "Ledger";
 
-  /** The keys of a listing. */
+  /** The entries of a listing. */
   static final String ITEMS = "Items";
 
-  /** Whether a listing has further keys after those in the response. */
+  /** Whether a listing has further entries after those in the response. */
   static final String TRUNCATED = "Truncated";
 
   /** The conditions of a transaction. */
--- a/src/main/java/org/saffronshore/state/RequestBudget.java
+++ b/src/main/java/org/saffronshore/state/RequestBudget.java
@@ -9,9 +9,9 @@
  * among all controllers, including the leader.
  *
  * <p>The settings may announce lower limits that take effect at some later time. Each controller
- * detects by itself that they are in effect: when the service rejects a request because of its
- * rate, the controller keeps to the lower limits for several worker leases, and then tries the
- * higher limits again.
+ * detects independently of the others whether the lower limits are in effect: when the service
+ * rejects a request because of the rate limit, the controller keeps to the lower limits for several
+ * worker leases, and then tries the higher limits again.
  */
 final class RequestBudget {
   /** The fraction of the request rate that is reserved for the leader. */
@@ -23,7 +23,9 @@
   private static final double REQUEST_BURST_S = 1;
   private static final double WRITE_BURST_S = 1.5;
 
-  /** How long the next limits apply after a rejection because of the rate, in worker leases. */
+  /**
+   * How long the next limits apply after a rejection because of the rate limit, in worker leases.
+   */
   private static final double NEXT_LIMITS_DURATION_LEASES = 4;
 
   private final EventLoop loop;
@@ -44,8 +46,9 @@
             loop, shareOf(settings.stateWritesPerS(), LEADER_WRITE_FRACTION), WRITE_BURST_S);
   }
 
-  private double shareOf(double rate, double leaderPart) {
-    return rate * ((1 - leaderPart) / settings.controllerCount() + (leading ? leaderPart : 0));
+  private double shareOf(double rate, double leaderFraction) {
+    return rate
+        * ((1 - leaderFraction) / settings.controllerCount() + (leading ? leaderFraction : 0));
   }
 
   /** Sets whether this controller leads. */
@@ -70,7 +73,9 @@
             LEADER_WRITE_FRACTION));
   }
 
-  /** Handles a rejection of a request because of its rate: the next limits may be in effect. */
+  /**
+   * Handles the rejection of a request because of the rate limit: the next limits may be in effect.
+   */
   void onRateLimited() {
     if (settings.nextStateRequestsPerS() < settings.stateRequestsPerS()
         || settings.nextStateWritesPerS() < settings.stateWritesPerS()) {
--- a/src/main/java/org/saffronshore/state/StateClient.java
+++ b/src/main/java/org/saffronshore/state/StateClient.java
@@ -117,7 +117,10 @@
         response -> callback.accept(LeaseRenewal.parse(response)));
   }
 
-  /** Ends a lease at once. The callback runs after the response, whatever its status. */
+  /**
+   * Ends a lease at once. The callback runs when the request has ended, whether or not it
+   * succeeded.
+   */
   public void revokeLease(long leaseId, Runnable callback) {
     transport.send(
         "DELETE",
@@ -131,7 +134,7 @@
   /**
    * Reads every key under a prefix.
    *
-   * @param callback receives the entries; empty when any page of them could not be read
+   * @param callback receives the entries; empty when any page could not be read
    */
   public void list(String prefix, RequestPriority priority, Consumer<Optional<Listing>> callback) {
     listRemainingPages(prefix, priority, Optional.empty(), callback);
@@ -204,7 +207,7 @@
   /**
    * Reads the entries under a prefix that come after a key, up to the limit of one response.
    *
-   * @param after the key; empty to read from the first one
+   * @param after the key; empty to read from the first entry
    * @param callback receives the page; empty when it could not be read
    */
   void listPage(
--- a/src/main/java/org/saffronshore/state/StateServiceMonitor.java
+++ b/src/main/java/org/saffronshore/state/StateServiceMonitor.java
@@ -4,8 +4,8 @@
 
 /**
  * Monitors whether the state service responds to this controller. The response to any request of
- * this process counts. When there has been none for a while, the monitor reads a small key as a
- * probe.
+ * this process counts, provided that it has a status below 429. When there has been none for a
+ * while, the monitor reads a small key as a probe.
  */
 public final class StateServiceMonitor {
   private final EventLoop loop;
--- a/src/main/java/org/saffronshore/state/Submission.java
+++ b/src/main/java/org/saffronshore/state/Submission.java
@@ -59,9 +59,9 @@
   }
 
   /**
-   * Chooses the conditions on dependencies. An accepted dependency stays accepted, which needs no
-   * condition. If the state service allows enough conditions in a transaction, the transaction also
-   * proves that no dependency is cancelled, which saves a look-up afterwards.
+   * Chooses the conditions on dependencies. An accepted dependency stays accepted, so its
+   * acceptance needs no condition. If the state service allows enough conditions in a transaction,
+   * the transaction also proves that no dependency is cancelled, which saves a look-up afterwards.
    */
   void chooseConditions(JobCache cache, int maxConditions) {
     JobCache.Closure closure = cache.closure(job.dependencies());
--- a/src/main/java/org/saffronshore/state/SubmissionQueue.java
+++ b/src/main/java/org/saffronshore/state/SubmissionQueue.java
@@ -146,7 +146,8 @@
 
   /**
    * Returns the submissions of a malformed transaction, to be tried again, each in a transaction of
-   * its own, since any of them may be the cause. A submission that was alone is not tried again.
+   * its own, since any of them may be the cause. A submission that was alone in the transaction is
+   * not tried again.
    */
   private static List<Submission> handleMalformed(List<Submission> batch) {
     if (batch.size() == 1) {
@@ -158,8 +159,9 @@
   }
 
   /**
-   * Returns the submissions to be tried again: those that the conflict does not concern. When it
-   * concerns none of them, its cause is unknown, and none is tried again.
+   * Returns the submissions to be tried again: those that the conflict does not concern. When the
+   * conflict concerns none of the submissions, its cause is unknown, and no submission is tried
+   * again.
    */
   private List<Submission> handleConflict(List<Submission> batch, Set<String> conflicting) {
     List<Submission> unaffected = new ArrayList<>();
--- a/src/main/java/org/saffronshore/state/SubmissionResult.java
+++ b/src/main/java/org/saffronshore/state/SubmissionResult.java
@@ -14,7 +14,10 @@
   /** A job with the same id was accepted before. */
   DUPLICATE,
 
-  /** The result could not be determined: the job may have been accepted, or may be later. */
+  /**
+   * The result could not be determined: the job may have been accepted, or may still be accepted
+   * later.
+   */
   UNKNOWN,
 
   /** The submission was rejected because the queue was full or a rate limit was reached. */
--- a/src/main/java/org/saffronshore/state/Transaction.java
+++ b/src/main/java/org/saffronshore/state/Transaction.java
@@ -7,8 +7,8 @@
 import org.saffronshore.wire.Json;
 
 /**
- * A transaction that is being built: conditions on the versions of keys, and writes, which are all
- * applied if every condition holds, and otherwise none of them.
+ * A transaction under construction: conditions on the versions of keys, and writes. If every
+ * condition holds, all writes are applied; otherwise none of them is.
  */
 public final class Transaction {
   /** The state service allows this many conditions for each write that it allows. */
@@ -26,7 +26,7 @@
     return CONDITIONS_PER_WRITE * settings.maxTransactionWrites();
   }
 
-  /** Adds the condition that a key has a version; version 0 means that it does not exist. */
+  /** Adds the condition that a key has a version; version 0 means that the key does not exist. */
   public Transaction expectVersion(String key, long version) {
     conditions.addObject().put(ProtocolFields.KEY, key).put(ProtocolFields.VERSION, version);
     return this;
@@ -58,7 +58,7 @@
     return writes.size();
   }
 
-  /** Returns the message; without writes it has no list of writes. */
+  /** Returns the body of the request. An empty list of writes is left out. */
   byte[] toBytes() {
     if (writes.isEmpty()) {
       body.remove(ProtocolFields.WRITES);
--- a/src/main/java/org/saffronshore/state/Vote.java
+++ b/src/main/java/org/saffronshore/state/Vote.java
@@ -20,7 +20,7 @@
   private static final String INCARNATION_FIELD = "Life";
   private static final String NUMBER_FIELD = "N";
 
-  /** Reads a stored value; a missing field is not known. */
+  /** Reads a stored value. The value of a missing field is not known. */
   public static Vote parse(JsonNode stored) {
     return new Vote(
         Json.integer(stored, TERM_FIELD, -1),
--- a/src/main/java/org/saffronshore/state/VoteRequest.java
+++ b/src/main/java/org/saffronshore/state/VoteRequest.java
@@ -12,7 +12,7 @@
  * @param incarnation distinguishes the process from earlier ones of the same controller; null when
  *     it is not known
  * @param term the term that the candidate wants to lead; -1 when it is not known
- * @param number distinguishes the requests of one process
+ * @param number distinguishes the requests of one process; 0 when it is not known
  */
 public record VoteRequest(
     @Nullable String candidate, @Nullable String incarnation, long term, long number) {
@@ -21,7 +21,7 @@
   private static final String TERM_FIELD = "Term";
   private static final String NUMBER_FIELD = "N";
 
-  /** Reads a stored value; a missing field is not known. */
+  /** Reads a stored value. The value of a missing field is not known. */
   public static VoteRequest parse(JsonNode stored) {
     return new VoteRequest(
         Json.text(stored, CANDIDATE_FIELD),
--- a/src/main/java/org/saffronshore/state/WatchResult.java
+++ b/src/main/java/org/saffronshore/state/WatchResult.java
@@ -19,7 +19,10 @@
   public enum Outcome {
     RECEIVED,
 
-    /** The state service no longer has changes from that revision: the keys must be listed. */
+    /**
+     * The state service no longer has the changes since the requested revision: the keys must be
+     * listed.
+     */
     COMPACTED,
 
     /** The state service did not respond, or responded without a list of changes. */
