--- a/src/main/java/org/saffronshore/admin/Metrics.java
+++ b/src/main/java/org/saffronshore/admin/Metrics.java
@@ -16,7 +16,8 @@
 
 /**
  * The metrics of a controller. Counting is plain arithmetic on the event loop. The Micrometer
- * registry is created by the first scrape, because it would lengthen every start otherwise.
+ * registry is created by the first scrape and not at start-up, because creating it would delay
+ * every start.
  */
 public final class Metrics {
 
@@ -68,7 +69,7 @@
   /** A gauge or counter whose value is read from a function at each scrape. */
   private record FunctionMetric(String name, Tags tags, boolean isCounter, DoubleSupplier value) {}
 
-  /** Null until the first scrape. */
+  /** The Micrometer registry; null until the first scrape. */
   private @Nullable PrometheusMeterRegistry registry;
 
   /** Creates the metrics with all counters at zero. */
--- a/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/saffronshore/cli/CdsTrainingCommand.java
@@ -19,8 +19,8 @@
 
 /**
  * Runs a controller on the loopback interface for a short time, without the services that it needs.
- * The build archives the classes that are loaded meanwhile (class data sharing), which shortens the
- * start of a controller.
+ * The build archives the classes that are loaded during this run (class data sharing), which
+ * shortens the start of a controller.
  */
 @Command(
     name = "train-cds",
@@ -68,7 +68,8 @@
 
   private static String resource(String name) throws IOException {
     try (InputStream resource =
-        Objects.requireNonNull(CdsTrainingCommand.class.getResourceAsStream(name), name)) {
+        Objects.requireNonNull(
+            CdsTrainingCommand.class.getResourceAsStream(name), "resource not found: " + name)) {
       return new String(resource.readAllBytes(), UTF_8);
     }
   }
--- a/src/main/java/org/saffronshore/config/Objective.java
+++ b/src/main/java/org/saffronshore/config/Objective.java
@@ -12,7 +12,8 @@
  * @param kind the kind of objective, as named in the settings file
  * @param jobClass the class of jobs that the objective applies to; null if it applies to all
  * @param share the share of jobs that must meet the objective, from 0 to 1
- * @param factor the largest ratio to a reference, for an objective relative to one
+ * @param factor the maximum ratio to a reference value, for an objective that compares with a
+ *     reference
  * @param withinS the time limit in seconds, for an objective with a time limit
  */
 public record Objective(
--- a/src/main/java/org/saffronshore/http/Response.java
+++ b/src/main/java/org/saffronshore/http/Response.java
@@ -34,7 +34,7 @@
     return status == STATUS_NOT_SENT;
   }
 
-  /** Returns whether it is unknown if the request took effect. */
+  /** Returns whether the request was lost, so that it is unknown whether it took effect. */
   public boolean isLost() {
     return status == STATUS_LOST;
   }
--- a/src/main/java/org/saffronshore/wire/JobSpec.java
+++ b/src/main/java/org/saffronshore/wire/JobSpec.java
@@ -232,7 +232,9 @@
         && (other.machineTypes == null || other.machineTypes.equals(machineTypes));
   }
 
-  /** Returns whether tasks save checkpoints, so that a stop loses only the work since the last. */
+  /**
+   * Returns whether tasks save checkpoints, so that a stop loses only the work since the last one.
+   */
   public boolean supportsCheckpoints() {
     return checkpointIntervalS > 0;
   }
--- a/src/main/java/org/saffronshore/wire/Json.java
+++ b/src/main/java/org/saffronshore/wire/Json.java
@@ -29,7 +29,10 @@
     return read(JSON, body);
   }
 
-  /** Returns a CBOR body, used between controllers, as a tree, or null if it is not one value. */
+  /**
+   * Returns a CBOR body, the form that controllers send each other, as a tree, or null if it is not
+   * exactly one value.
+   */
   public static @Nullable JsonNode parseCbor(byte[] body) {
     return read(CBOR, body);
   }
@@ -62,7 +65,7 @@
     try {
       return mapper.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be serialized", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
   }
 
--- a/src/main/java/org/saffronshore/wire/ListedMachine.java
+++ b/src/main/java/org/saffronshore/wire/ListedMachine.java
@@ -8,9 +8,10 @@
  * An entry of the cloud's list of machines. The address, type and zone are null if the cloud does
  * not list them.
  *
- * @param failed whether the cloud reports that the machine has stopped by itself
+ * @param failed whether the cloud lists the machine as failed, that is, as having stopped without a
+ *     return request
  * @param rentedForS seconds from the rental request to the time that the list describes; 0 if the
- *     cloud does not list it
+ *     cloud does not list the time
  */
 public record ListedMachine(
     String id,
