--- a/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
+++ b/src/main/java/org/saffronshore/failover/MachineRegistryStore.java
@@ -106,7 +106,7 @@
       toRegister.forEach(
           machine ->
               records.put(
-                  machine.id(), MachineRegistryEntry.mayHoldAnything(loop.wallClockMs()).toJson()));
+                  machine.id(), MachineRegistryEntry.mayHoldAnyTask(loop.wallClockMs()).toJson()));
     }
     List<String> removed = new ArrayList<>(registry.removedMachineIds());
     removed.forEach(records::remove);
--- a/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
+++ b/src/main/java/org/saffronshore/state/MachineRegistryEntry.java
@@ -32,7 +32,7 @@
   private static final long UNKNOWN_TIME_MS = Long.MAX_VALUE / 2;
 
   /** Returns the entry of a machine that receives tasks, and therefore may hold any task. */
-  public static MachineRegistryEntry mayHoldAnything(long writtenAtMs) {
+  public static MachineRegistryEntry mayHoldAnyTask(long writtenAtMs) {
     return new MachineRegistryEntry(writtenAtMs, Optional.empty());
   }
 
