--- a/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
+++ b/src/test/java/org/saffronshore/cluster/AttemptEndTest.java
@@ -119,7 +119,7 @@
     if (removed) {
       assertNull(
           cluster.heartbeatReceived(heartbeat("host-1", 1, 99, TERM)),
-          "late heartbeats of a removed machine are rejected");
+          "a late heartbeat of a removed machine is rejected");
     }
   }
 
--- a/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
+++ b/src/test/java/org/saffronshore/cluster/ClusterTestBase.java
@@ -23,7 +23,7 @@
 abstract class ClusterTestBase {
   static final long TERM = 5;
 
-  /** Version of the leader's key; jobs with a lower version are from earlier terms. */
+  /** Version of the leader key; jobs with a lower version are from earlier terms. */
   static final long TERM_VERSION = 100;
 
   static final TaskId TASK = new TaskId("wk-1", 0);
@@ -36,7 +36,7 @@
     cluster.machineTypes(TestData.MACHINE_TYPES);
   }
 
-  /** Adds job wk-1 with a single task, accepted at this version. */
+  /** Adds job wk-1 with a single task, accepted at the given version. */
   void addJob(long version) {
     cluster.addJob(
         TestData.job("wk-1", "red", Priority.STANDARD, 1, 4),
@@ -54,12 +54,12 @@
     return machine;
   }
 
-  /** Returns the machine with this id, which must exist. */
+  /** Returns the machine with the given id, which must exist. */
   Machine machine(String id) {
     return Objects.requireNonNull(cluster.machine(id), id);
   }
 
-  /** Returns the job with this id, which must be open. */
+  /** Returns the job with the given id, which must be open. */
   Job openJob(String id) {
     return Objects.requireNonNull(cluster.job(id), id);
   }
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -28,6 +28,26 @@
 
 /** Tests which tasks a new leader may place after a failover, and which have to wait. */
 class FailoverTest extends ClusterTestBase {
+  /** What the new leader knows of host-2; its text is the display name of the cases. */
+  private enum MachineState {
+    ANY_TASK_POSSIBLE("registry entry without tasks"),
+    TASK_OF_UNKNOWN_JOB_POSSIBLE("registry entry with a task of an unknown job"),
+    TASK_OF_OPEN_JOB_POSSIBLE("registry entry with a task of an open job"),
+    TASK_OF_UNKNOWN_JOB_SHOWN("heartbeat with a task of an unknown job"),
+    NO_TASK_POSSIBLE("neither registry entry nor heartbeat");
+
+    private final String displayName;
+
+    MachineState(String displayName) {
+      this.displayName = displayName;
+    }
+
+    @Override
+    public String toString() {
+      return displayName;
+    }
+  }
+
   @ParameterizedTest
   @CsvSource({"99, false", "101, true"})
   void onlyJobOlderThanTermWaitsForUnreconciledMachines(long version, boolean placeable) {
@@ -62,21 +82,21 @@
     cluster.machineListed(
         new ListedMachine("host-1", "10.1.0.1:9000", "big", "a", true, false, 90));
     assertEquals(machine, cluster.nextMachineWithCommands());
-    CommandBatch guess = nextBatch(machine);
-    assertEquals(1, guess.epoch());
-    assertTrue(guess.commands().isEmpty());
+    CommandBatch first = nextBatch(machine);
+    assertEquals(1, first.epoch());
+    assertTrue(first.commands().isEmpty());
     cluster.batchCompleted(
-        guess, DeliveryOutcome.NOT_EXECUTED, heartbeat("host-1", 3, ++sequence, TERM - 1));
+        first, DeliveryOutcome.NOT_EXECUTED, heartbeat("host-1", 3, ++sequence, TERM - 1));
     assertFalse(hasPlaceableJob(), "a launch of the previous leader may still arrive there");
-    CommandBatch right = nextBatch(machine);
-    assertEquals(3, right.epoch());
+    CommandBatch second = nextBatch(machine);
+    assertEquals(3, second.epoch());
     cluster.batchCompleted(
-        right, DeliveryOutcome.EXECUTED, heartbeat("host-1", 3, ++sequence, TERM));
+        second, DeliveryOutcome.EXECUTED, heartbeat("host-1", 3, ++sequence, TERM));
     assertTrue(hasPlaceableJob());
     assertNull(cluster.nextBatch(machine));
     loop.advance(TestData.LEASE_S + 1);
     cluster.expireLeases();
-    assertFalse(machine.isUp(), "a direct command renews no lease");
+    assertFalse(machine.isUp(), "the response to a command renews no lease");
   }
 
   /**
@@ -138,7 +158,7 @@
     SchedulingPlan plan = plan(teams());
     assertEquals(placeable, placedIndexes(plan));
     cluster.addRegistered("host-3", 0, null);
-    assertFalse(hasPlaceableJob(), "host-3 may hold anything");
+    assertFalse(hasPlaceableJob(), "host-3 may hold any task");
   }
 
   /**
@@ -213,8 +233,8 @@
     cluster.addRegistered("host-1", 0, null);
     addJob(1);
     Map<String, Team> teams = teams();
-    var more = TestData.job("wk-2", "red", Priority.STANDARD, 1, 62);
-    cluster.addJob(more, TERM_VERSION + 1, 0, new BitSet(), Integer.MAX_VALUE);
+    var other = TestData.job("wk-2", "red", Priority.STANDARD, 1, 62);
+    cluster.addJob(other, TERM_VERSION + 1, 0, new BitSet(), Integer.MAX_VALUE);
     Machine machine = addUpMachine("host-2");
     SchedulingPlan plan = plan(teams);
     assertTrue(
@@ -225,24 +245,36 @@
 
   /**
    * Guards against a team that exceeds its limit because of tasks of a job that was cancelled just
-   * before the failover. They may still run on a machine that may hold anything, on one whose
+   * before the failover. They may still run on a machine that may hold any task, on one whose
    * registry entry names them, or on one whose heartbeat shows them. The new leader does not know
    * their team, so they count for every team.
    */
   @ParameterizedTest
-  @CsvSource({"possible anywhere, 0", "possible, 0", "of an open job, 1", "shown, 0", "nowhere, 1"})
-  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(String whereabouts, int placed) {
+  @CsvSource({
+    "ANY_TASK_POSSIBLE, 0",
+    "TASK_OF_UNKNOWN_JOB_POSSIBLE, 0",
+    "TASK_OF_OPEN_JOB_POSSIBLE, 1",
+    "TASK_OF_UNKNOWN_JOB_SHOWN, 0",
+    "NO_TASK_POSSIBLE, 1"
+  })
+  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(MachineState state, int placed) {
     Machine machine = addUpMachine("host-1");
     cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
-    if (whereabouts.equals("possible anywhere")) {
-      cluster.addRegistered("host-2", 0, null);
-    } else if (whereabouts.equals("shown")) {
-      cluster.heartbeatReceived(
-          heartbeat(
-              "host-2", 1, 9, TERM, taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-    } else if (!whereabouts.equals("nowhere")) {
-      cluster.addRegistered(
-          "host-2", 0, Set.of(new TaskId(whereabouts.equals("possible") ? "wk-7" : "wk-8", 0)));
+    switch (state) {
+      case ANY_TASK_POSSIBLE -> cluster.addRegistered("host-2", 0, null);
+      case TASK_OF_UNKNOWN_JOB_POSSIBLE ->
+          cluster.addRegistered("host-2", 0, Set.of(new TaskId("wk-7", 0)));
+      case TASK_OF_OPEN_JOB_POSSIBLE ->
+          cluster.addRegistered("host-2", 0, Set.of(new TaskId("wk-8", 0)));
+      case TASK_OF_UNKNOWN_JOB_SHOWN ->
+          cluster.heartbeatReceived(
+              heartbeat(
+                  "host-2",
+                  1,
+                  9,
+                  TERM,
+                  taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
+      case NO_TASK_POSSIBLE -> {}
     }
     cluster.addJob(TestData.job("wk-8", "free", Priority.STANDARD, 1, 32), 1, 0, new BitSet(), 1);
     cluster.addJob(
--- a/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
+++ b/src/test/java/org/saffronshore/cluster/LateHeartbeatTest.java
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Guards against copies of the last heartbeat of a lost machine that keep it up, so that its
-   * tasks are never placed again. The tasks stay on it for one lease after the original heartbeat,
-   * and no longer.
+   * Guards against copies of the last heartbeat of a lost machine that keep the machine up, so that
+   * its tasks are never placed again. The tasks stay on the machine for one lease after the
+   * original heartbeat, and no longer.
    */
   @Test
   void copiesOfHeartbeatDoNotExtendLeaseOfLostMachine() {
--- a/src/test/java/org/saffronshore/cluster/LaunchTest.java
+++ b/src/test/java/org/saffronshore/cluster/LaunchTest.java
@@ -105,7 +105,10 @@
     assertTrue(machine.tasks().hasRecordOf(TASK), "the task must be placed on another machine");
   }
 
-  /** The first task of an overdue job is not preempted for a job of higher priority. */
+  /**
+   * A task that was placed because its job was overdue is not preempted for a job of higher
+   * priority.
+   */
   @ParameterizedTest
   @CsvSource({"false, 1", "true, 0"})
   void overdueTaskIsNotPreempted(boolean overdue, int stops) {
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -26,9 +26,39 @@
 class QuotaAccountingTest extends ClusterTestBase {
   private static final double LIMIT_CPUS = 64;
 
+  /** Stands for a registry entry that names no tasks, so the machine may hold any task. */
+  private static final String ANY_TASK = "any task";
+
+  /** An event after the failover; its text is the display name of the cases. */
+  private enum Event {
+    NONE("no event"),
+    JOB_1_CANCELLED("wk-1 is cancelled"),
+    JOB_1_COMPLETED("wk-1 completes"),
+    TASK_1_0_COMPLETED("wk-1/0 completes"),
+    HOST_1_SHOWS_TASK_1_0("host-1 shows wk-1/0"),
+    OLD_HEARTBEAT_OF_HOST_3_SHOWS_TASK_1_0("an old heartbeat of host-3 shows wk-1/0"),
+    HOST_3_HOLDS_NO_TASK("host-3 holds no task");
+
+    private final String displayName;
+
+    Event(String displayName) {
+      this.displayName = displayName;
+    }
+
+    @Override
+    public String toString() {
+      return displayName;
+    }
+  }
+
+  /**
+   * Adds a machine with a registry entry.
+   *
+   * @param tasks the tasks that the entry names, separated by spaces, or {@link #ANY_TASK}
+   */
   private void addRegistered(String id, String tasks) {
     Set<TaskId> possibleTasks = null;
-    if (!tasks.equals("anything")) {
+    if (!tasks.equals(ANY_TASK)) {
       possibleTasks = new HashSet<>();
       for (String name : tasks.split(" ", -1)) {
         possibleTasks.add(new TaskId(name.substring(0, 4), Integer.parseInt(name.substring(5))));
@@ -42,10 +72,10 @@
     return Objects.requireNonNull(teams().get("red")).quotaUsage().cpus();
   }
 
-  private void applyEvent(String event) {
+  private void applyEvent(Event event) {
     switch (event) {
-      case "wk-1 is cancelled" -> cluster.removeJob("wk-1");
-      case "wk-1 completes" -> {
+      case JOB_1_CANCELLED -> cluster.removeJob("wk-1");
+      case JOB_1_COMPLETED -> {
         for (int i = 0; i < 2; i++) {
           cluster.heartbeatReceived(
               heartbeat(
@@ -57,7 +87,7 @@
         }
         cluster.removeJob("wk-1");
       }
-      case "wk-1/0 completes" ->
+      case TASK_1_0_COMPLETED ->
           cluster.heartbeatReceived(
               heartbeat(
                   "host-3",
@@ -65,7 +95,7 @@
                   ++sequence,
                   TERM,
                   taskStatus("wk-1", 0, 7, TaskState.EXITED, ExitReason.COMPLETED)));
-      case "host-1 shows wk-1/0" ->
+      case HOST_1_SHOWS_TASK_1_0 ->
           cluster.heartbeatReceived(
               heartbeat(
                   "host-1",
@@ -73,7 +103,7 @@
                   ++sequence,
                   TERM,
                   taskStatus("wk-1", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-      case "an old heartbeat of host-3 shows wk-1/0" ->
+      case OLD_HEARTBEAT_OF_HOST_3_SHOWS_TASK_1_0 ->
           cluster.heartbeatReceived(
               heartbeat(
                   "host-3",
@@ -81,34 +111,34 @@
                   ++sequence,
                   TERM - 1,
                   taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
-      case "host-3 holds nothing" ->
+      case HOST_3_HOLDS_NO_TASK ->
           cluster.heartbeatReceived(heartbeat("host-3", 1, ++sequence, TERM));
-      default -> assertEquals("nothing", event);
+      case NONE -> {}
     }
   }
 
   @ParameterizedTest
   @CsvSource({
-    "wk-1/0, wk-2/0, nothing, 0, 8, 0",
-    "wk-1/0, wk-2/0, wk-1 is cancelled, 0, 4, 4",
-    "wk-1/0, wk-2/0, wk-1 completes, 0, 4, 0",
-    "wk-1/0, wk-2/0, wk-1/0 completes, 0, 4, 0",
-    "wk-1/0, wk-2/0, host-1 shows wk-1/0, 4, 4, 0",
+    "wk-1/0, wk-2/0, NONE, 0, 8, 0",
+    "wk-1/0, wk-2/0, JOB_1_CANCELLED, 0, 4, 4",
+    "wk-1/0, wk-2/0, JOB_1_COMPLETED, 0, 4, 0",
+    "wk-1/0, wk-2/0, TASK_1_0_COMPLETED, 0, 4, 0",
+    "wk-1/0, wk-2/0, HOST_1_SHOWS_TASK_1_0, 4, 4, 0",
     // Two registry entries may name the same task; it is on one machine only.
-    "wk-1/0, wk-1/0, nothing, 0, 4, 0",
+    "wk-1/0, wk-1/0, NONE, 0, 4, 0",
     // Neither the team nor the size of a job that ended before the term is known.
-    "wk-9/0, wk-2/0, nothing, 0, 4, 32",
-    "wk-1/0 wk-9/0, wk-2/0, nothing, 0, 8, 28",
-    // A machine that may hold anything counts in addition to one whose entry names its tasks.
-    "wk-1/0, anything, nothing, 0, 8, 28",
-    "wk-1/0, anything, wk-1 is cancelled, 0, 4, 32",
-    "anything, anything, nothing, 0, 8, 56",
-    "anything, anything, wk-1 is cancelled, 0, 4, 60",
+    "wk-9/0, wk-2/0, NONE, 0, 4, 32",
+    "wk-1/0 wk-9/0, wk-2/0, NONE, 0, 8, 28",
+    // A machine that may hold any task counts in addition to one whose entry names its tasks.
+    "wk-1/0, any task, NONE, 0, 8, 28",
+    "wk-1/0, any task, JOB_1_CANCELLED, 0, 4, 32",
+    "any task, any task, NONE, 0, 8, 56",
+    "any task, any task, JOB_1_CANCELLED, 0, 4, 60",
   })
   void usageIsSumOverMachinesOfWhatEachMayHold(
       String first,
       String second,
-      String event,
+      Event event,
       double launched,
       double possible,
       double unattributed) {
@@ -128,14 +158,14 @@
    * registry entry of the first machine still counts.
    */
   @ParameterizedTest
-  @CsvSource({"nothing, 4", "wk-1 is cancelled, 4"})
-  void oldHeartbeatDoesNotReduceUsageOfRegistryEntry(String event, double counted) {
+  @CsvSource({"NONE, 4", "JOB_1_CANCELLED, 4"})
+  void oldHeartbeatDoesNotReduceUsageOfRegistryEntry(Event event, double counted) {
     addRegistered("host-1", "wk-1/0");
     addRegistered("host-3", "wk-2/0");
     addOpenJob("wk-1");
-    applyEvent("an old heartbeat of host-3 shows wk-1/0");
+    applyEvent(Event.OLD_HEARTBEAT_OF_HOST_3_SHOWS_TASK_1_0);
     applyEvent(event);
-    applyEvent("host-3 holds nothing");
+    applyEvent(Event.HOST_3_HOLDS_NO_TASK);
     assertEquals(counted, countedCpus().counted());
   }
 
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -15,8 +15,30 @@
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
 
-/** Tests of machines whose heartbeats arrive but that receive nothing that is sent to them. */
+/**
+ * Tests of machines whose heartbeats arrive but that do not receive what controllers send to them.
+ */
 class UnresponsiveMachineTest extends ClusterTestBase {
+  /** What the controller receives from the machine; its text is the display name of the cases. */
+  private enum Scenario {
+    EPOCH_RISES_DESPITE_RENEWED_LEASE("epoch rises although the lease was renewed"),
+    EPOCH_RISES_AFTER_SILENCE("epoch rises after a silence"),
+    LAUNCH_IS_NOT_REPORTED("launch is never reported"),
+    LAUNCH_IS_REPORTED("launch is reported"),
+    EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED("epoch rises and a command response is received");
+
+    private final String displayName;
+
+    Scenario(String displayName) {
+      this.displayName = displayName;
+    }
+
+    @Override
+    public String toString() {
+      return displayName;
+    }
+  }
+
   private CommandBatch launchWithUnknownDelivery(Machine machine) {
     CommandBatch batch = launch(machine);
     cluster.batchCompleted(batch, DeliveryOutcome.UNKNOWN, null);
@@ -29,20 +51,20 @@
    */
   @ParameterizedTest
   @CsvSource({
-    "epoch rises although the lease was renewed, false, true",
-    "epoch rises after a silence, true, false",
-    "launch is never reported, false, true",
-    "launch is reported, true, false",
-    "epoch rises and a command response is received, true, false"
+    "EPOCH_RISES_DESPITE_RENEWED_LEASE, false, true",
+    "EPOCH_RISES_AFTER_SILENCE, true, false",
+    "LAUNCH_IS_NOT_REPORTED, false, true",
+    "LAUNCH_IS_REPORTED, true, false",
+    "EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED, true, false"
   })
   void unresponsiveMachineIsNotSchedulableAndIsReturned(
-      String scenario, boolean schedulable, boolean returned) {
+      Scenario scenario, boolean schedulable, boolean returned) {
     Machine machine = addUpMachine("host-1");
     addJob(101);
     long epoch = 1;
-    if (scenario.startsWith("launch")) {
+    if (scenario == Scenario.LAUNCH_IS_NOT_REPORTED || scenario == Scenario.LAUNCH_IS_REPORTED) {
       CommandBatch batch = launchWithUnknownDelivery(machine);
-      if (scenario.endsWith("is reported")) {
+      if (scenario == Scenario.LAUNCH_IS_REPORTED) {
         cluster.heartbeatReceived(
             heartbeat(
                 "host-1",
@@ -58,16 +80,16 @@
       }
     } else {
       epoch = 2;
-      loop.advance(scenario.contains("silence") ? TestData.LEASE_S + 1 : 3);
+      loop.advance(scenario == Scenario.EPOCH_RISES_AFTER_SILENCE ? TestData.LEASE_S + 1 : 3);
     }
     for (int i = 0; i < 9; i++) {
-      if (machine.taskCount() == 0 || !scenario.equals("launch is reported")) {
+      if (machine.taskCount() == 0 || scenario != Scenario.LAUNCH_IS_REPORTED) {
         cluster.heartbeatReceived(heartbeat("host-1", epoch, ++sequence, TERM));
       } else {
         machine.health().restartSilenceTimer(loop.now());
       }
       cluster.unresponsiveMachines().detect();
-      if (scenario.endsWith("is received")) {
+      if (scenario == Scenario.EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED) {
         cluster.batchCompleted(
             new CommandBatch(machine, 2, List.of(), List.of()),
             DeliveryOutcome.EXECUTED,
--- a/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
+++ b/src/test/java/org/saffronshore/failover/PagedRecordsTest.java
@@ -71,7 +71,9 @@
     assertEquals(Map.of("host-0", 0L, "host-1", 1L, "host-2", 2L, "host-3", 33L), stored());
   }
 
-  /** An entry that must never be missing is replaced in its page, or not at all. */
+  /**
+   * An entry that must never be missing is replaced within its page; otherwise it stays unchanged.
+   */
   @Test
   void replaceSucceedsOnlyWhileThePageHasRoom() {
     for (int i = 0; i < 5; i++) {
--- a/src/test/java/org/saffronshore/leadership/LeadershipTest.java
+++ b/src/test/java/org/saffronshore/leadership/LeadershipTest.java
@@ -18,6 +18,13 @@
 
 /** Elections among simulated controllers. At most one of them is active as leader at any time. */
 class LeadershipTest extends LeadershipTestBase {
+  /** The controllers that a test restarts. */
+  private enum Restarted {
+    LEADER,
+    FOLLOWERS,
+    ALL
+  }
+
   @Test
   void oneOfThreeControllersLeadsAndAllReportItAsLeader() {
     startThreeControllers();
@@ -77,7 +84,7 @@
 
   /**
    * In an outage the leader acts no longer than its information on cancellations allows, although
-   * it reaches its peers again after a short cut.
+   * it reaches its peers again after a short partition.
    */
   @Test
   void leaderIsInactiveInAnOutageAfterItsRenewalDeadline() {
@@ -204,9 +211,9 @@
    */
   @ParameterizedTest
   @CsvSource({"5, 1", "5, 2", "7, 1", "7, 2", "7, 3", "7, 4", "9, 1"})
-  void leaderIsElectedWithinHalfALeaseAmongManyCandidates(int nodes, int seed) {
+  void leaderIsElectedWithinHalfALeaseAmongManyCandidates(int controllerCount, int seed) {
     random.setSeed(seed);
-    startControllers(nodes, seed * 100);
+    startControllers(controllerCount, seed * 100);
     for (int round = 0; round < 6; round++) {
       SimulatedController cutOff = activeLeader();
       cutOff.cutFromStateService = true;
@@ -252,16 +259,16 @@
   }
 
   /**
-   * The next incarnation of a controller proves that the last one has ended, so the deployment must
-   * not be without a leader until the lease of the ended process expires.
+   * The next incarnation of a controller proves that the previous incarnation has ended, so the
+   * deployment must not be without a leader until the lease of the ended process expires.
    */
   @ParameterizedTest
-  @CsvSource({"leader, 0.05", "leader, 0.3", "follower, 0.05", "all, 0.05", "all, 0.3"})
-  void leaderIsActiveWithinHalfALeaseAfterARestart(String restarted, double delayS) {
+  @CsvSource({"LEADER, 0.05", "LEADER, 0.3", "FOLLOWERS, 0.05", "ALL, 0.05", "ALL, 0.3"})
+  void leaderIsActiveWithinHalfALeaseAfterARestart(Restarted restarted, double delayS) {
     startThreeControllers();
     SimulatedController leader = activeLeader();
     for (SimulatedController controller : List.copyOf(controllers)) {
-      if (restarted.equals("all") || restarted.equals("leader") == (controller == leader)) {
+      if (restarted == Restarted.ALL || (restarted == Restarted.LEADER) == (controller == leader)) {
         restart(controller, delayS);
       }
     }
@@ -272,8 +279,8 @@
   }
 
   /**
-   * Guards against two active leaders when processes end at any moment, also during an election,
-   * and the network delivers late copies of their requests.
+   * Guards against two active leaders when processes end at any time, also during an election, and
+   * the network delivers late copies of their requests.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6})
--- a/src/test/java/org/saffronshore/leadership/SimulatedController.java
+++ b/src/test/java/org/saffronshore/leadership/SimulatedController.java
@@ -29,7 +29,7 @@
 final class SimulatedController implements Leadership.Listener, PeerVoting, EventLoop {
   static final double LEASE_DURATION_S = TestData.LEASE_S / 5;
 
-  /** For how long after its last access to the state service a leader may renew leases. */
+  /** How long a leader may renew leases after its last access to the state service, in seconds. */
   private static final double RENEWALS_ALLOWED_S = LEASE_DURATION_S * 5;
 
   private static final double MAX_MESSAGE_DELAY_S = 0.02;
