--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.saffronshore.TestData;
 import org.saffronshore.scheduling.SchedulingPlan;
 import org.saffronshore.scheduling.Team;
@@ -30,16 +31,20 @@
 class FailoverTest extends ClusterTestBase {
   /** What the new leader knows of host-2; its text is the display name of the cases. */
   private enum MachineState {
-    ANY_TASK_POSSIBLE("registry entry without tasks"),
-    TASK_OF_UNKNOWN_JOB_POSSIBLE("registry entry with a task of an unknown job"),
-    TASK_OF_OPEN_JOB_POSSIBLE("registry entry with a task of an open job"),
-    TASK_OF_UNKNOWN_JOB_SHOWN("heartbeat with a task of an unknown job"),
-    NO_TASK_POSSIBLE("neither registry entry nor heartbeat");
+    ANY_TASK_POSSIBLE("registry entry without tasks", 0),
+    TASK_OF_UNKNOWN_JOB_POSSIBLE("registry entry with a task of an unknown job", 0),
+    TASK_OF_OPEN_JOB_POSSIBLE("registry entry with a task of an open job", 1),
+    TASK_OF_UNKNOWN_JOB_SHOWN("heartbeat with a task of an unknown job", 0),
+    NO_TASK_POSSIBLE("neither registry entry nor heartbeat", 1);
 
     private final String displayName;
 
-    MachineState(String displayName) {
+    /** The number of tasks that are placed for a job that would fill the team's limit. */
+    private final int placed;
+
+    MachineState(String displayName, int placed) {
       this.displayName = displayName;
+      this.placed = placed;
     }
 
     @Override
@@ -250,14 +255,8 @@
    * their team, so they count for every team.
    */
   @ParameterizedTest
-  @CsvSource({
-    "ANY_TASK_POSSIBLE, 0",
-    "TASK_OF_UNKNOWN_JOB_POSSIBLE, 0",
-    "TASK_OF_OPEN_JOB_POSSIBLE, 1",
-    "TASK_OF_UNKNOWN_JOB_SHOWN, 0",
-    "NO_TASK_POSSIBLE, 1"
-  })
-  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(MachineState state, int placed) {
+  @EnumSource
+  void possibleTasksOfUnknownJobsCountAgainstEveryTeamLimit(MachineState state) {
     Machine machine = addUpMachine("host-1");
     cluster.machineListed(new ListedMachine("host-2", null, "big", "a", true, false, 90));
     switch (state) {
@@ -297,7 +296,7 @@
                 "host-3", "10.1.0.1:9000", "huge", "a", true, 1, 1, TERM, null, List.of()));
     cluster.registry().markRegistered(List.of(machine, huge));
     assertEquals(
-        placed,
+        state.placed,
         plan(teams()).placements().stream()
             .filter(placement -> placement.task().job().equals("wk-2"))
             .count());
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -1,6 +1,7 @@
 package org.saffronshore.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
 import static org.saffronshore.TestData.heartbeat;
 import static org.saffronshore.TestData.taskStatus;
 
@@ -8,8 +9,11 @@
 import java.util.HashSet;
 import java.util.Objects;
 import java.util.Set;
+import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.saffronshore.TestData;
 import org.saffronshore.scheduling.QuotaUsage;
 import org.saffronshore.wire.Heartbeat.ExitReason;
@@ -117,24 +121,27 @@
     }
   }
 
+  static Stream<Arguments> usageCases() {
+    return Stream.of(
+        arguments("wk-1/0", "wk-2/0", Event.NONE, 0, 8, 0),
+        arguments("wk-1/0", "wk-2/0", Event.JOB_1_CANCELLED, 0, 4, 4),
+        arguments("wk-1/0", "wk-2/0", Event.JOB_1_COMPLETED, 0, 4, 0),
+        arguments("wk-1/0", "wk-2/0", Event.TASK_1_0_COMPLETED, 0, 4, 0),
+        arguments("wk-1/0", "wk-2/0", Event.HOST_1_SHOWS_TASK_1_0, 4, 4, 0),
+        // Two registry entries may name the same task; it is on one machine only.
+        arguments("wk-1/0", "wk-1/0", Event.NONE, 0, 4, 0),
+        // Neither the team nor the size of a job that ended before the term is known.
+        arguments("wk-9/0", "wk-2/0", Event.NONE, 0, 4, 32),
+        arguments("wk-1/0 wk-9/0", "wk-2/0", Event.NONE, 0, 8, 28),
+        // A machine that may hold any task counts in addition to one whose entry names its tasks.
+        arguments("wk-1/0", ANY_TASK, Event.NONE, 0, 8, 28),
+        arguments("wk-1/0", ANY_TASK, Event.JOB_1_CANCELLED, 0, 4, 32),
+        arguments(ANY_TASK, ANY_TASK, Event.NONE, 0, 8, 56),
+        arguments(ANY_TASK, ANY_TASK, Event.JOB_1_CANCELLED, 0, 4, 60));
+  }
+
   @ParameterizedTest
-  @CsvSource({
-    "wk-1/0, wk-2/0, NONE, 0, 8, 0",
-    "wk-1/0, wk-2/0, JOB_1_CANCELLED, 0, 4, 4",
-    "wk-1/0, wk-2/0, JOB_1_COMPLETED, 0, 4, 0",
-    "wk-1/0, wk-2/0, TASK_1_0_COMPLETED, 0, 4, 0",
-    "wk-1/0, wk-2/0, HOST_1_SHOWS_TASK_1_0, 4, 4, 0",
-    // Two registry entries may name the same task; it is on one machine only.
-    "wk-1/0, wk-1/0, NONE, 0, 4, 0",
-    // Neither the team nor the size of a job that ended before the term is known.
-    "wk-9/0, wk-2/0, NONE, 0, 4, 32",
-    "wk-1/0 wk-9/0, wk-2/0, NONE, 0, 8, 28",
-    // A machine that may hold any task counts in addition to one whose entry names its tasks.
-    "wk-1/0, any task, NONE, 0, 8, 28",
-    "wk-1/0, any task, JOB_1_CANCELLED, 0, 4, 32",
-    "any task, any task, NONE, 0, 8, 56",
-    "any task, any task, JOB_1_CANCELLED, 0, 4, 60",
-  })
+  @MethodSource("usageCases")
   void usageIsSumOverMachinesOfWhatEachMayHold(
       String first,
       String second,
@@ -158,15 +165,15 @@
    * registry entry of the first machine still counts.
    */
   @ParameterizedTest
-  @CsvSource({"NONE, 4", "JOB_1_CANCELLED, 4"})
-  void oldHeartbeatDoesNotReduceUsageOfRegistryEntry(Event event, double counted) {
+  @EnumSource(names = {"NONE", "JOB_1_CANCELLED"})
+  void oldHeartbeatDoesNotReduceUsageOfRegistryEntry(Event event) {
     addRegistered("host-1", "wk-1/0");
     addRegistered("host-3", "wk-2/0");
     addOpenJob("wk-1");
     applyEvent(Event.OLD_HEARTBEAT_OF_HOST_3_SHOWS_TASK_1_0);
     applyEvent(event);
     applyEvent(Event.HOST_3_HOLDS_NO_TASK);
-    assertEquals(counted, countedCpus().counted());
+    assertEquals(4, countedCpus().counted());
   }
 
   private void addOpenJob(String id) {
--- a/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
+++ b/src/test/java/org/saffronshore/cluster/UnresponsiveMachineTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.saffronshore.TestData;
 import org.saffronshore.wire.Heartbeat.ExitReason;
 import org.saffronshore.wire.Heartbeat.TaskState;
@@ -21,16 +22,25 @@
 class UnresponsiveMachineTest extends ClusterTestBase {
   /** What the controller receives from the machine; its text is the display name of the cases. */
   private enum Scenario {
-    EPOCH_RISES_DESPITE_RENEWED_LEASE("epoch rises although the lease was renewed"),
-    EPOCH_RISES_AFTER_SILENCE("epoch rises after a silence"),
-    LAUNCH_IS_NOT_REPORTED("launch is never reported"),
-    LAUNCH_IS_REPORTED("launch is reported"),
-    EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED("epoch rises and a command response is received");
+    EPOCH_RISES_DESPITE_RENEWED_LEASE("epoch rises although the lease was renewed", false, true),
+    EPOCH_RISES_AFTER_SILENCE("epoch rises after a silence", true, false),
+    LAUNCH_IS_NOT_REPORTED("launch is never reported", false, true),
+    LAUNCH_IS_REPORTED("launch is reported", true, false),
+    EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED(
+        "epoch rises and a command response is received", true, false);
 
     private final String displayName;
 
-    Scenario(String displayName) {
+    /** Whether the machine still gets tasks afterwards. */
+    private final boolean schedulable;
+
+    /** Whether the machine is returned afterwards. */
+    private final boolean returned;
+
+    Scenario(String displayName, boolean schedulable, boolean returned) {
       this.displayName = displayName;
+      this.schedulable = schedulable;
+      this.returned = returned;
     }
 
     @Override
@@ -45,20 +55,9 @@
     return batch;
   }
 
-  /**
-   * Parameters: what the machine's heartbeats, epochs and command responses show, whether the
-   * machine still gets tasks, and whether it is returned.
-   */
   @ParameterizedTest
-  @CsvSource({
-    "EPOCH_RISES_DESPITE_RENEWED_LEASE, false, true",
-    "EPOCH_RISES_AFTER_SILENCE, true, false",
-    "LAUNCH_IS_NOT_REPORTED, false, true",
-    "LAUNCH_IS_REPORTED, true, false",
-    "EPOCH_RISES_AND_COMMAND_RESPONSE_IS_RECEIVED, true, false"
-  })
-  void unresponsiveMachineIsNotSchedulableAndIsReturned(
-      Scenario scenario, boolean schedulable, boolean returned) {
+  @EnumSource
+  void unresponsiveMachineIsNotSchedulableAndIsReturned(Scenario scenario) {
     Machine machine = addUpMachine("host-1");
     addJob(101);
     long epoch = 1;
@@ -97,8 +96,8 @@
       }
       loop.advance(3);
     }
-    assertEquals(schedulable, machine.isSchedulable(loop.now()));
-    assertEquals(returned, cluster.unresponsiveMachines().isUnusable(machine));
+    assertEquals(scenario.schedulable, machine.isSchedulable(loop.now()));
+    assertEquals(scenario.returned, cluster.unresponsiveMachines().isUnusable(machine));
   }
 
   /**
--- a/src/test/java/org/saffronshore/compatibility/StoredFormsReadingTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredFormsReadingTest.java
@@ -193,8 +193,8 @@
   }
 
   /**
-   * A machine that is missing from the cloud's list counts as gone only if it was registered long
-   * enough ago to be in the list. The list may lag behind.
+   * A machine that is missing from the cloud's list counts as removed only if it was registered
+   * long enough ago to be in the list, because the list may lag behind.
    */
   @ParameterizedTest
   @CsvSource(
--- a/src/test/java/org/saffronshore/control/ControllerTest.java
+++ b/src/test/java/org/saffronshore/control/ControllerTest.java
@@ -194,8 +194,8 @@
   }
 
   /**
-   * A job that the state service cannot store is rejected by itself. Otherwise the state service
-   * would reject all submissions in the same transaction.
+   * The controller rejects a job that the state service cannot store, and no other job. Otherwise
+   * the state service would reject all submissions in the same transaction.
    */
   @Test
   void jobThatIsTooLongToBeStoredIsRejectedAsMalformed() {
--- a/src/test/java/org/saffronshore/http/HttpTest.java
+++ b/src/test/java/org/saffronshore/http/HttpTest.java
@@ -225,7 +225,7 @@
     }
   }
 
-  /** Clients would retry the request after a response with status 413. */
+  /** The status is not 413, because clients would retry the request after it. */
   @Test
   void bodyBeyondTheLimitIsRefusedWith400() {
     assertEquals(200, post(address, "/x", HttpServer.MAX_BODY_BYTES, 60).status());
