--- a/src/test/java/org/saffronshore/compatibility/StoredFormsReadingTest.java
+++ b/src/test/java/org/saffronshore/compatibility/StoredFormsReadingTest.java
@@ -205,7 +205,7 @@
         "{'host-9':{'At':999000}} | ''",
         "{'host-9':{}} | ''"
       })
-  void unlistedRegisteredMachineCountsAsGoneOnlyIfRegisteredLongAgo(
+  void unlistedRegisteredMachineCountsAsRemovedOnlyIfRegisteredLongAgo(
       String firstPage, String expectedTasks) {
     cluster.put("j/wk-1", openJob("wk-1", 4), "b/0", "{'wk-1':4}", "r/0", firstPage);
     startLeaderWithMachine();
