--- a/src/test/java/org/saffronshore/JobBuilder.java
+++ b/src/test/java/org/saffronshore/JobBuilder.java
@@ -108,6 +108,7 @@
     return this;
   }
 
+  /** Returns a job with the properties that were set. */
   public JobSpec build() {
     return new JobSpec(
         id,
--- a/src/test/java/org/saffronshore/TestData.java
+++ b/src/test/java/org/saffronshore/TestData.java
@@ -54,6 +54,7 @@
   public static final Map<String, MachineType> MACHINE_TYPES =
       Map.of("big", new MachineType("big", 32, 0, 256, 50, 1, 2, 1, 40, List.of("a", "b")));
 
+  /** Returns a heartbeat of a spot machine of type big in zone a, without a preemption notice. */
   public static Heartbeat heartbeat(
       String machine, long epoch, long sequence, long fencingToken, Heartbeat.TaskStatus... tasks) {
     return new Heartbeat(
--- a/src/test/java/org/saffronshore/cluster/FailoverTest.java
+++ b/src/test/java/org/saffronshore/cluster/FailoverTest.java
@@ -273,7 +273,7 @@
                   9,
                   TERM,
                   taskStatus("wk-7", 0, 7, TaskState.RUNNING, ExitReason.NONE)));
-      case NO_TASK_POSSIBLE -> {}
+      default -> assertEquals(MachineState.NO_TASK_POSSIBLE, state);
     }
     cluster.addJob(TestData.job("wk-8", "free", Priority.STANDARD, 1, 32), 1, 0, new BitSet(), 1);
     cluster.addJob(
--- a/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
+++ b/src/test/java/org/saffronshore/cluster/QuotaAccountingTest.java
@@ -117,7 +117,7 @@
                   taskStatus("wk-1", 0, 6, TaskState.RUNNING, ExitReason.NONE)));
       case HOST_3_HOLDS_NO_TASK ->
           cluster.heartbeatReceived(heartbeat("host-3", 1, ++sequence, TERM));
-      case NONE -> {}
+      default -> assertEquals(Event.NONE, event);
     }
   }
 
--- a/src/test/java/org/saffronshore/compatibility/PeerProtocolTest.java
+++ b/src/test/java/org/saffronshore/compatibility/PeerProtocolTest.java
@@ -338,8 +338,7 @@
 
   /**
    * In an outage of the state service, a leader keeps leading for a while if its peers grant their
-   * leases, and longer if they also report all cancellations, but not if the state service serves
-   * the peers.
+   * leases, longer if they also report all cancellations, but not if the service serves the peers.
    */
   @ParameterizedTest
   @CsvSource(
