--- a/src/main/java/org/saffronshore/admin/AdminApi.java
+++ b/src/main/java/org/saffronshore/admin/AdminApi.java
@@ -68,17 +68,10 @@
     if (request.hasMethod("GET")) {
       respond.run();
     } else {
-      respondMethodNotAllowed(request, "GET", responder);
+      responder.methodNotAllowed(request, "GET");
     }
   }
 
-  private static void respondMethodNotAllowed(
-      Request request, String expected, Responder responder) {
-    String problem =
-        "method " + request.method() + " not allowed for " + request.path() + ": expected ";
-    responder.error(405, problem + expected);
-  }
-
   private void respondMetrics(Responder responder) {
     byte[] body = metrics.scrape().getBytes(StandardCharsets.UTF_8);
     responder.send(200, METRICS_CONTENT_TYPE, body, 0);
@@ -90,7 +83,7 @@
     } else if (request.hasMethod("PUT")) {
       changeSettings(request.json(), responder);
     } else {
-      respondMethodNotAllowed(request, "GET or PUT", responder);
+      responder.methodNotAllowed(request, "GET or PUT");
     }
   }
 
--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -46,7 +46,7 @@
 
   void handle(Request request, Responder responder) {
     if (!request.hasMethod("GET")) {
-      RequestRouter.respondMethodNotAllowed(request, "GET", responder);
+      responder.methodNotAllowed(request, "GET");
     } else if (isReady()) {
       responder.json(200, new HealthResponse().toJson());
     } else {
--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -73,7 +73,7 @@
     } else if (path.startsWith(JOB_PREFIX)) {
       handleJob(path.substring(JOB_PREFIX.length()), request, responder);
     } else {
-      respondNotFound(request, responder);
+      responder.notFound(request);
     }
   }
 
@@ -84,28 +84,12 @@
       admit(
           "POST", RequestClass.DECISION, request, responder, () -> userApi.cancel(job, responder));
     } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
-      respondNotFound(request, responder);
+      responder.notFound(request);
     } else {
       admit("GET", RequestClass.DECISION, request, responder, () -> userApi.poll(rest, responder));
     }
   }
 
-  private static void respondNotFound(Request request, Responder responder) {
-    responder.error(404, "no such path: " + request.path());
-  }
-
-  /** Refuses a request whose method is not the expected one. */
-  static void respondMethodNotAllowed(Request request, String expected, Responder responder) {
-    responder.error(
-        405,
-        "method "
-            + request.method()
-            + " not allowed for "
-            + request.path()
-            + ": expected "
-            + expected);
-  }
-
   private void admit(
       String method,
       RequestClass requestClass,
@@ -113,7 +97,7 @@
       Responder responder,
       Runnable handler) {
     if (!request.hasMethod(method)) {
-      respondMethodNotAllowed(request, method, responder);
+      responder.methodNotAllowed(request, method);
       return;
     }
     Runnable handleIfConnected =
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -207,7 +207,7 @@
   /** Handles a request of a peer or an operator. */
   public void handlePeer(Request request, Responder responder) {
     if (!peerRequestHandler.handle(request, responder) && !adminApi.handle(request, responder)) {
-      responder.error(404, "no such path: " + request.path());
+      responder.notFound(request);
     }
   }
 
--- a/src/main/java/org/saffronshore/http/Responder.java
+++ b/src/main/java/org/saffronshore/http/Responder.java
@@ -37,6 +37,27 @@
     send(status, CONTENT_TYPE_JSON, Json.bytes(Json.object().put("error", problem)), 0);
   }
 
+  /** Sends the error response to a request for a path that is not served. */
+  default void notFound(Request request) {
+    error(404, "no such path: " + request.path());
+  }
+
+  /**
+   * Sends the error response to a request whose method its path does not allow.
+   *
+   * @param expected the allowed methods, as the response names them
+   */
+  default void methodNotAllowed(Request request, String expected) {
+    error(
+        405,
+        "method "
+            + request.method()
+            + " not allowed for "
+            + request.path()
+            + ": expected "
+            + expected);
+  }
+
   /** Sends an error response that asks the client to retry after a number of seconds. */
   default void retryLater(int status, String problem, int retryAfterS) {
     send(status, CONTENT_TYPE_JSON, Json.bytes(Json.object().put("error", problem)), retryAfterS);
