--- a/src/test/java/org/saffronshore/compatibility/ControllerHarness.java
+++ b/src/test/java/org/saffronshore/compatibility/ControllerHarness.java
@@ -281,14 +281,6 @@
         .toList();
   }
 
-  /** Returns the bodies of the requests that the controller has sent to a path. */
-  List<byte[]> requestBodiesTo(String path) {
-    return sentRequests.stream()
-        .filter(request -> request.path.equals(path))
-        .map(SentRequest::body)
-        .toList();
-  }
-
   /**
    * Adds a machine, which the cloud lists from then on. Its worker sends heartbeats only when the
    * test calls for them.
