--- /dev/null
+++ b/src/test/java/org/saffronshore/compatibility/SimulatedWorker.java
@@ -0,0 +1,139 @@
+package org.saffronshore.compatibility;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The worker of one machine: it reports once in a second, and does what it is told. */
+final class SimulatedWorker {
+  private static final double HEARTBEAT_INTERVAL_S = 1;
+  private static final long EPOCH = 1;
+
+  /** Tasks that workers were told to start, in that order. */
+  private final List<String> startedTasks;
+
+  private final SimulatedCluster cluster;
+  private final String name;
+  private final String address;
+  private final String zone;
+
+  /** What it shows of its tasks, by task and attempt. */
+  private final Map<String, ObjectNode> shownTasks = new LinkedHashMap<>();
+
+  /** Tasks that it was told to stop. */
+  final List<String> stoppedTasks = new ArrayList<>();
+
+  /** It neither reports nor answers. */
+  boolean silent;
+
+  /** The cloud says that it has failed. */
+  boolean listedAsFailed;
+
+  private ControllerUnderTest controller;
+  private long sequence;
+  private long fencingToken;
+
+  SimulatedWorker(SimulatedCluster cluster, String name, String address, String zone) {
+    this.cluster = cluster;
+    this.startedTasks = cluster.startedTasks;
+    this.name = name;
+    this.address = address;
+    this.zone = zone;
+  }
+
+  /** From now on its reports go to a controller. */
+  void startHeartbeatsTo(ControllerUnderTest node) {
+    controller = node;
+    cluster.loop.schedule(HEARTBEAT_INTERVAL_S, this::sendHeartbeat);
+  }
+
+  private void sendHeartbeat() {
+    if (!silent) {
+      controller.sendHeartbeat(heartbeat(fencingToken), this::execute);
+    }
+    cluster.loop.schedule(HEARTBEAT_INTERVAL_S, this::sendHeartbeat);
+  }
+
+  /** Its next report, as if that token was the highest that it knows. */
+  String heartbeat(long highest) {
+    ObjectNode report =
+        commonFields().put("Shift", EPOCH).put("Tick", ++sequence).put("Baton", highest);
+    ArrayNode shown = report.putArray("Legs");
+    shownTasks.values().forEach(shown::add);
+    return report.toString();
+  }
+
+  /** The machine in the cloud's list. */
+  ObjectNode cloudEntry() {
+    return commonFields()
+        .put("Uid", name)
+        .put("Status", listedAsFailed ? "failed" : "running")
+        .put("HeldS", 5);
+  }
+
+  private ObjectNode commonFields() {
+    return SimulatedCluster.MAPPER
+        .createObjectNode()
+        .put("Cadre", name)
+        .put("Address", address)
+        .put("Rig", "big")
+        .put("Depot", zone)
+        .put("Loaner", true);
+  }
+
+  String name() {
+    return name;
+  }
+
+  /** Answers a direct command; the status is 409 when it is not for this session. */
+  SimulatedCluster.CannedResponse handleCommands(JsonNode message) {
+    if (message.get("Baton").asLong() < fencingToken || message.get("Shift").asLong() != EPOCH) {
+      return new SimulatedCluster.CannedResponse(409, heartbeat(fencingToken));
+    }
+    execute(message);
+    return new SimulatedCluster.CannedResponse(200, heartbeat(fencingToken));
+  }
+
+  private void execute(JsonNode message) {
+    fencingToken = Math.max(fencingToken, message.get("Baton").asLong());
+    for (JsonNode call : message.get("Calls")) {
+      String task = call.get("Leg").asText();
+      long attempt = call.get("Lap").asLong();
+      String key = task + "#" + attempt;
+      switch (call.get("Call").asText()) {
+        case "launch" -> startTask(key, task, attempt);
+        case "kill" -> {
+          stoppedTasks.add(task);
+          endTask(task, "halted");
+        }
+        default -> shownTasks.remove(key);
+      }
+    }
+  }
+
+  private void startTask(String key, String task, long attempt) {
+    if (!shownTasks.containsKey(key)) {
+      startedTasks.add(task);
+      shownTasks.put(
+          key,
+          SimulatedCluster.MAPPER
+              .createObjectNode()
+              .put("Leg", task)
+              .put("Lap", attempt)
+              .put("Status", "running"));
+    }
+  }
+
+  /** A task that runs here ends. */
+  void endTask(String task, String cause) {
+    for (ObjectNode shown : shownTasks.values()) {
+      if (shown.get("Leg").asText().equals(task) && !shown.has("Cause")) {
+        shown.put("Status", "ended").put("Cause", cause);
+      }
+    }
+  }
+}
