--- a/src/main/java/org/saffronshore/api/HealthCheck.java
+++ b/src/main/java/org/saffronshore/api/HealthCheck.java
@@ -8,13 +8,14 @@
 import org.saffronshore.wire.HealthResponse;
 
 /**
- * Tells load balancers whether users should be sent to this controller.
+ * Tells load balancers whether to send users to this controller.
  *
- * <p>A controller that alone is refused by the state service, or that reaches neither that nor any
- * peer, sends its users to the others. When the state service is unavailable to all, all stay: to
- * turn every user away at once, and to let them back in slowly, would only make an outage longer.
- * An outage reaches the controllers within moments of one another, so that a peer had a response a
- * little later than this controller says nothing.
+ * <p>This controller reports that it is not ready if the state service responds to peers but not to
+ * it, or if it reaches neither the state service nor any peer. If the state service is unavailable
+ * to all controllers, all remain ready: to turn away all users at once, and to readmit them slowly,
+ * would only prolong the outage. An outage does not reach all controllers at the same instant, so a
+ * response to a peer that is only a little later than the last one to this controller does not
+ * count.
  */
 public final class HealthCheck {
   private static final int RETRY_AFTER_S = 1;
@@ -25,8 +26,12 @@
   private final double maxPeerSilenceS;
 
   /**
-   * @param machineTypesKnown whether submissions can be validated at all
-   * @param maxPeerSilenceS without a message of any peer for so long this controller is cut off
+   * Creates the health check of a controller.
+   *
+   * @param machineTypesKnown whether the machine types are known, without which no submission can
+   *     be validated
+   * @param maxPeerSilenceS the time without a response or message of any peer, in seconds, after
+   *     which this controller counts as cut off
    */
   public HealthCheck(
       BooleanSupplier machineTypesKnown,
@@ -41,7 +46,7 @@
 
   void handle(Request request, Responder responder) {
     if (!request.hasMethod("GET")) {
-      responder.error(405, "GET only");
+      RequestRouter.respondMethodNotAllowed(request, "GET", responder);
     } else if (isReady()) {
       responder.json(200, new HealthResponse().toJson());
     } else {
@@ -53,7 +58,10 @@
     return machineTypesKnown.getAsBoolean() && (stateService.isAvailable() || !isPeerPreferable());
   }
 
-  /** Whether a peer may have the state service, or nothing at all is reached from here. */
+  /**
+   * Returns whether users are better served by a peer: the state service last responded to a peer
+   * clearly later than to this controller, or this controller is cut off from all peers.
+   */
   private boolean isPeerPreferable() {
     return peers.stateServiceServedAnyPeerSince(stateService.lastResponseAt())
         || peers.isCutOff(maxPeerSilenceS);
--- a/src/main/java/org/saffronshore/api/RedirectTracker.java
+++ b/src/main/java/org/saffronshore/api/RedirectTracker.java
@@ -5,21 +5,25 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Remembers which workers were redirected to the leader. One that is back soon after could not
- * reach it: its heartbeats are relayed from then on, so that its lease does not expire because of a
- * network that is cut in one place only.
+ * Tracks which workers were redirected to the leader. A worker that returns soon after a redirect
+ * could not reach the leader. Its heartbeats are relayed from then on, so that its lease does not
+ * expire because of a partial network partition.
  */
 public final class RedirectTracker {
-  /** A worker that was redirected longer ago than this is not coming back because of it. */
+  /** The age in heartbeat intervals after which a redirect need not be kept. */
   private static final double MAX_AGE_INTERVALS = 5;
 
   /**
-   * A worker waits for up to 4 s for the leader's response, and a second before it tries the next
+   * The time in heartbeat intervals within which a worker that could not reach the leader returns.
+   * A worker waits up to 4 s for the leader's response, and then 1 s before it tries the next
    * controller.
    */
   private static final double RETURN_INTERVALS = 4;
 
-  /** A worker whose heartbeats are relayed sends the next one after one interval. */
+  /**
+   * The same for a worker whose last heartbeat was relayed: it sends the next one after one
+   * interval.
+   */
   private static final double RELAYED_RETURN_INTERVALS = 2;
 
   private record Redirect(String leader, double redirectedAt, boolean relayed) {}
@@ -32,21 +36,27 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Redirect> eldest) {
-          // Entries are in the order of their times: what is too old to matter is at the front.
+          // Entries are ordered by time, so the oldest redirect comes first.
           return loop.now()
               > eldest.getValue().redirectedAt + MAX_AGE_INTERVALS * heartbeatIntervalS;
         }
       };
 
   /**
-   * @param heartbeatIntervalS how often a worker sends a heartbeat
+   * Creates a tracker without redirects.
+   *
+   * @param heartbeatIntervalS the time between two heartbeats of a worker, in seconds
    */
   public RedirectTracker(EventLoop loop, double heartbeatIntervalS) {
     this.loop = loop;
     this.heartbeatIntervalS = heartbeatIntervalS;
   }
 
-  /** Whether the worker came back from that leader; if not, it counts as redirected there now. */
+  /**
+   * Returns whether to relay the heartbeat of a worker to the leader, since the worker has returned
+   * from a redirect to it. If not, the caller redirects the worker to the leader, which is recorded
+   * here.
+   */
   boolean shouldRelay(String worker, String leader) {
     Redirect latest = latestByWorker.remove(worker);
     double now = loop.now();
@@ -56,8 +66,9 @@
   }
 
   /**
-   * Whether the worker is back from the leader. Where its heartbeats are relayed it is redirected
-   * again now and then, since the leader may be within its reach by now.
+   * Returns whether the worker has returned from the leader in time. A worker whose heartbeats are
+   * relayed is redirected again from time to time, since it may be able to reach the leader by
+   * then.
    */
   private boolean hasReturnedFrom(Redirect latest, String leader, double now) {
     double withinIntervals = latest.relayed ? RELAYED_RETURN_INTERVALS : RETURN_INTERVALS;
@@ -65,7 +76,10 @@
         && now - latest.redirectedAt < withinIntervals * heartbeatIntervalS;
   }
 
-  /** Its heartbeat was relayed: the next one is, too, if it arrives in time. */
+  /**
+   * Records that a heartbeat of the worker was relayed to the leader. The next one is relayed, too,
+   * if it arrives in time.
+   */
   void recordRelayed(String worker, String leader) {
     latestByWorker.remove(worker);
     latestByWorker.put(worker, new Redirect(leader, loop.now(), true));
--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -7,11 +7,14 @@
 import org.saffronshore.http.Request;
 import org.saffronshore.http.Responder;
 
-/** Brings each request of users and workers to its handler, through the admission queue. */
+/**
+ * Routes each request of users, workers and load balancers to its handler. Requests other than
+ * health checks pass the admission queue.
+ */
 public final class RequestRouter {
   /**
-   * Users' requests of one class that may wait, as a share of what the sockets could bring at once;
-   * beyond it they are refused with 429.
+   * The capacity of the queue of each class of user requests, as a fraction of the number of
+   * sockets. Requests beyond it are refused with 429.
    */
   private static final double QUEUED_SHARE = 1.0 / 8;
 
@@ -29,7 +32,9 @@
   private final HealthCheck health;
 
   /**
-   * @param maxSockets the sockets that this process may use
+   * Creates a router with empty queues.
+   *
+   * @param maxSockets the number of sockets that this process may use
    */
   public RequestRouter(
       EventLoop loop, int maxSockets, UserApi userApi, WorkerApi workerApi, HealthCheck health) {
@@ -46,7 +51,7 @@
     this.health = health;
   }
 
-  /** Handles a request on the address of users, workers and load balancers. */
+  /** Handles a request to the address that users, workers and load balancers share. */
   public void handle(Request request, Responder responder) {
     String path = request.path();
     if (path.equals(HEARTBEAT_PATH)) {
@@ -68,25 +73,37 @@
     } else if (path.startsWith(JOB_PREFIX)) {
       handleJob(path.substring(JOB_PREFIX.length()), request, responder);
     } else {
-      respondNotFound(responder);
+      respondNotFound(request, responder);
     }
   }
 
-  /** A request on one job; {@code rest} is what follows the prefix in its path. */
+  /** Handles a request for one job; {@code rest} is the part of the path after the prefix. */
   private void handleJob(String rest, Request request, Responder responder) {
     if (rest.endsWith(CANCEL_SUFFIX)) {
       String job = rest.substring(0, rest.length() - CANCEL_SUFFIX.length());
       admit(
           "POST", RequestClass.DECISION, request, responder, () -> userApi.cancel(job, responder));
     } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
-      respondNotFound(responder);
+      respondNotFound(request, responder);
     } else {
       admit("GET", RequestClass.DECISION, request, responder, () -> userApi.poll(rest, responder));
     }
   }
 
-  private static void respondNotFound(Responder responder) {
-    responder.error(404, "no such path");
+  private static void respondNotFound(Request request, Responder responder) {
+    responder.error(404, "no such path: " + request.path());
+  }
+
+  /** Refuses a request whose method is not the expected one. */
+  static void respondMethodNotAllowed(Request request, String expected, Responder responder) {
+    responder.error(
+        405,
+        "method "
+            + request.method()
+            + " not allowed for "
+            + request.path()
+            + ": expected "
+            + expected);
   }
 
   private void admit(
@@ -96,16 +113,16 @@
       Responder responder,
       Runnable handler) {
     if (!request.hasMethod(method)) {
-      responder.error(405, method + " only");
+      respondMethodNotAllowed(request, method, responder);
       return;
     }
-    Runnable unlessDisconnected =
+    Runnable handleIfConnected =
         () -> {
           if (responder.isConnected()) {
             handler.run();
           }
         };
-    if (!admission.offer(requestClass, unlessDisconnected)) {
+    if (!admission.offer(requestClass, handleIfConnected)) {
       userApi.respondBusy(responder);
     }
   }
--- a/src/main/java/org/saffronshore/api/UserApi.java
+++ b/src/main/java/org/saffronshore/api/UserApi.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Submissions, polls and cancellations of users. Every controller responds by itself, from the
- * state service.
+ * Handles submissions, polls and cancellations of users. Every controller responds to them itself,
+ * from the state service, whether or not it leads.
  */
 public final class UserApi {
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
@@ -38,10 +38,10 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
-  /** The soonest that the protocol lets a refused user come back. */
+  /** The shortest retry delay of the protocol, in seconds. */
   private static final int RETRY_AFTER_S = 1;
 
-  /** What a stored job takes beside what its user sent. */
+  /** The bytes that a stored job takes in addition to its specification. */
   private static final int RECORD_OVERHEAD_BYTES = 128;
 
   private final EventLoop loop;
@@ -52,8 +52,10 @@
   private final Function<String, JobProgress> progress;
 
   /**
-   * @param machineTypes the cloud's machine types by name; empty while they are not known
-   * @param progress the progress of an open job, as far as it is known
+   * Creates the API of a controller.
+   *
+   * @param machineTypes supplies the cloud's machine types by name; empty while they are not known
+   * @param progress returns the progress of an open job, as far as it is known
    */
   public UserApi(
       EventLoop loop,
@@ -99,10 +101,12 @@
 
   private JobSpec parse(SubmissionRequest submission) throws InvalidFieldException {
     JobSpec job = submission.job();
-    // The state service would refuse the whole transaction, and with it the submissions that share
-    // it.
-    if (job.encodedLength() > settings.maxValueKb() * 1024 - RECORD_OVERHEAD_BYTES) {
-      throw new InvalidFieldException("body", "is longer than what can be kept of a job");
+    // The state service would refuse the whole transaction, which other submissions may share.
+    int length = job.encodedLength();
+    double maxLength = settings.maxValueKb() * 1024 - RECORD_OVERHEAD_BYTES;
+    if (length > maxLength) {
+      throw new InvalidFieldException(
+          "body", "must be at most " + (long) maxLength + " bytes as a stored job, got " + length);
     }
     return job;
   }
@@ -117,8 +121,7 @@
         switch (result) {
           case ACCEPTED -> () -> respond(job, JobStatus.OPEN, CREATED, responder);
           case ACCEPTED_UNVERIFIED ->
-              // A dependency may be cancelled already: then so is this job, and it must not be
-              // called anything else.
+              // If a dependency is already cancelled, so is this job, and the response must say so.
               () -> store.lookUp(job, status -> respond(job, status, CREATED, responder));
           case DUPLICATE ->
               () -> store.lookUp(job, status -> respondDuplicate(job, status, responder));
@@ -135,7 +138,7 @@
     response.run();
   }
 
-  /** Responds with the status of a job that was accepted before. */
+  /** Responds to a submission of a job that was accepted before with the status of the job. */
   private void respondDuplicate(String job, JobStatus status, Responder responder) {
     if (status == JobStatus.NOT_FOUND) {
       respondUnavailable(responder);
@@ -144,25 +147,28 @@
     }
   }
 
-  /** Why a job can never run; empty when it can. */
+  /** Returns why no task of the job can ever be scheduled, or empty if tasks can be. */
   private Optional<String> findUnschedulableReason(JobSpec job) {
     TeamQuota team = settings.teams().get(job.team());
     if (team == null) {
-      return Optional.of(JobSpec.TEAM_FIELD + ": there is no such team");
+      return Optional.of(JobSpec.TEAM_FIELD + ": must be a configured team, got " + job.team());
     }
     if (machineTypes.get().values().stream().noneMatch(type -> type.fits(job))) {
-      return Optional.of("a task fits no machine type that the job allows");
+      return Optional.of("a task does not fit on any machine type that the job allows");
     }
     if ((team.maxCpus() > 0 && job.cpus() > team.maxCpus())
         || (team.maxGpus() > 0 && job.gpus() > team.maxGpus())) {
-      return Optional.of("a task is beyond the limit of its team");
+      return Optional.of("a task exceeds the quota of its team");
     }
     return Optional.empty();
   }
 
   /**
-   * Rejects a submission with that status. But a job that was accepted once stays accepted,
-   * whatever a later copy of its submission looks like.
+   * Rejects a submission, unless a job of that id was accepted before. An accepted job stays
+   * accepted, whatever a later submission with its id contains.
+   *
+   * @param job the id of the job, or null if the submission has none
+   * @param rejection the HTTP status of the rejection
    */
   private void rejectUnlessAccepted(
       @Nullable String job, int rejection, String problem, Responder responder) {
@@ -209,7 +215,11 @@
 
   // Responses
 
-  /** Responds with the status of a job, by that HTTP status if there is such a job. */
+  /**
+   * Responds with the status of a job.
+   *
+   * @param httpStatus the HTTP status of the response if the job exists and its status is known
+   */
   private void respond(String job, JobStatus status, int httpStatus, Responder responder) {
     LOG.debug("Responding to a user: job={} status={}", job, status);
     Runnable response =
@@ -234,12 +244,15 @@
   }
 
   private void respondUnavailable(Responder responder) {
-    LOG.debug("Request refused: reason={}", "no response of the state service, or no budget left");
+    LOG.debug(
+        "Request refused: reason={}",
+        "no valid response from the state service, or request budget used up");
     metrics.increment(Metrics.Counter.REQUESTS_REFUSED, 1);
-    responder.retryLater(UNAVAILABLE, "the state service does not answer", RETRY_AFTER_S);
+    responder.retryLater(
+        UNAVAILABLE, "job status unknown: no valid response from the state service", RETRY_AFTER_S);
   }
 
-  /** Refuses a request that the admission queue has no room for. */
+  /** Refuses a request because the admission queue is full or the rate of writes is used up. */
   void respondBusy(Responder responder) {
     LOG.debug("Request refused: reason=overloaded");
     metrics.increment(Metrics.Counter.REQUESTS_REFUSED, 1);
--- a/src/main/java/org/saffronshore/api/WorkerApi.java
+++ b/src/main/java/org/saffronshore/api/WorkerApi.java
@@ -15,33 +15,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives heartbeats of workers. The leader responds to them; any other controller redirects the
- * worker to the leader, or relays the heartbeat there when the worker cannot reach it.
+ * Handles heartbeats of workers. The leader responds to them; any other controller redirects the
+ * worker to the leader, or relays the heartbeat to the leader if the worker cannot reach it.
  */
 public final class WorkerApi {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerApi.class);
 
   private static final int OK = 200;
 
-  /** Workers take this status as a redirect to another controller. */
+  /** The status that workers understand as a redirect to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
 
   private static final int RETRY_AFTER_S = 1;
 
   /**
-   * The leader of this process, if any. There is one call for each heartbeat, so that a missing
-   * response is null and not an Optional.
+   * Handles heartbeats as the leader, if this process is the leader. There is one call per
+   * heartbeat, so a missing response is null instead of an Optional, which would be allocated.
    */
   @FunctionalInterface
   public interface HeartbeatHandler {
-    /** The body of the response, or null when this process may not respond as the leader. */
+    /** Returns the body of the response, or null if this process may not respond as the leader. */
     byte @Nullable [] handle(Heartbeat heartbeat);
   }
 
-  /** Where the leader is. */
+  /** Locates the leader. */
   @FunctionalInterface
   public interface LeaderLocator {
-    /** The name of the controller that leads, or null while none is known. */
+    /** Returns the node name of the leader, or null while none is known. */
     @Nullable String leaderNode();
   }
 
@@ -54,7 +54,9 @@
   private final HeartbeatRelay relay;
 
   /**
-   * @param node the name of this controller
+   * Creates the API of a controller.
+   *
+   * @param node the node name of this controller
    */
   public WorkerApi(
       EventLoop loop,
@@ -91,7 +93,7 @@
     if (leaderNode != null && redirects.shouldRelay(heartbeat.machine(), leaderNode)) {
       relay.relay(
           leaderNode,
-          Objects.requireNonNull(request.body(), "a heartbeat that was read has a body"),
+          Objects.requireNonNull(request.body(), "body of a parsed heartbeat"),
           relayed -> respondRelayed(heartbeat.machine(), leaderNode, relayed, responder));
     } else {
       redirect(leaderNode, responder);
@@ -109,7 +111,7 @@
     responder.send(OK, Responder.CONTENT_TYPE_JSON, response.get(), 0);
   }
 
-  /** Handles a heartbeat that a peer relays because it takes this controller for the leader. */
+  /** Handles a heartbeat relayed by a peer that considers this controller the leader. */
   public void handleRelayedHeartbeat(Request request, Responder responder) {
     Heartbeat heartbeat = parse(request, responder);
     if (heartbeat == null) {
@@ -125,12 +127,16 @@
 
   private void redirect(@Nullable String leaderNode, Responder responder) {
     metrics.increment(Metrics.Counter.HEARTBEATS_REDIRECTED, 1);
-    // This controller does not respond as the leader: to name it would bring the worker back here.
+    // This controller cannot respond as the leader, so a redirect to itself would only bring the
+    // worker back.
     String target = node.equals(leaderNode) ? null : leaderNode;
     responder.json(MISDIRECTED_REQUEST, new RedirectResponse(target).toJson());
   }
 
-  /** The heartbeat in the body; null when it is malformed, and the error response is sent. */
+  /**
+   * Returns the heartbeat in the body. If it is malformed, sends an error response and returns
+   * null.
+   */
   private static @Nullable Heartbeat parse(Request request, Responder responder) {
     try {
       return Heartbeat.parse(request.body());
