--- a/src/main/java/org/saffronshore/control/CommandSender.java
+++ b/src/main/java/org/saffronshore/control/CommandSender.java
@@ -17,13 +17,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends direct commands to workers, a limited number at a time, and takes their responses. */
+/** Sends direct commands to workers, with a limited number in flight, and handles the responses. */
 @NullMarked
 final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
   private static final String COMMAND_PATH = "/do";
 
-  /** A burst of launches must not use up the connections. */
+  /**
+   * The number of sockets of this process per command in flight, so that a burst of launches does
+   * not use up the connections.
+   */
   private static final int SOCKETS_PER_COMMAND_IN_FLIGHT = 8;
 
   private static final int MIN_COMMANDS_IN_FLIGHT = 4;
@@ -40,7 +43,7 @@
   /**
    * Creates the sender of one term.
    *
-   * @param dueWork is run after a response
+   * @param dueWork run after the response to a batch, to do what has become due by it
    */
   CommandSender(
       Settings settings, Client client, LeaderTerm term, Cluster cluster, Runnable dueWork) {
@@ -54,9 +57,10 @@
     this.probeTimeoutS = settings.heartbeatIntervalS() / 3;
   }
 
-  /** Sends what is due, as far as the number in flight allows. */
+  /** Sends the commands that are due, up to the limit of commands in flight. */
   void sendDue() {
-    // Checked before each batch: a process that was paused a moment ago may not act any more.
+    // Checks the term before each batch, since this controller may no longer act after a pause of
+    // its process.
     while (inFlight < maxInFlight && term.isActive()) {
       Machine machine = cluster.nextMachineWithCommands();
       if (machine == null) {
@@ -77,10 +81,10 @@
         batch.commands(),
         term.number(),
         batch.epoch());
-    // A probe, which holds no command, must not stand in the way of launches when many machines do
-    // not respond.
+    // A probe, which contains no commands, has a shorter timeout. Otherwise probes would delay
+    // launches when many machines do not respond.
     client.send(
-        Objects.requireNonNull(batch.machine().address(), "of a machine with commands"),
+        Objects.requireNonNull(batch.machine().address(), "address of a machine that has commands"),
         "POST",
         COMMAND_PATH,
         new CommandMessage(term.number(), batch.commands()).toDirectCommand(batch.epoch()),
@@ -119,7 +123,7 @@
       return CommandResponse.parse(response.status(), response.body());
     } catch (InvalidFieldException e) {
       LOG.warn(
-          "Response to commands holds no heartbeat: machine={} reason={}",
+          "Malformed response to commands: machine={} reason={}",
           batch.machine().id(),
           e.getMessage());
       return CommandResponse.UNKNOWN;
--- a/src/main/java/org/saffronshore/control/Controller.java
+++ b/src/main/java/org/saffronshore/control/Controller.java
@@ -44,9 +44,9 @@
 import org.saffronshore.wire.Heartbeat;
 import org.saffronshore.wire.MachineType;
 
-/** One controller process: builds its parts, connects them and starts them. */
+/** One controller process: creates its components, wires them and starts them. */
 public final class Controller implements Leadership.Listener {
-  /** However few sockets there are, each address accepts so many connections. */
+  /** The minimum number of connections that each address accepts, even if there are few sockets. */
   private static final int MIN_CONNECTIONS = 8;
 
   private final EventLoop loop;
@@ -71,7 +71,7 @@
   private final EventLoopDelayProbe delayProbe;
   private @Nullable Leader leader;
 
-  /** Builds a controller; nothing runs before {@link #start}. */
+  /** Creates a controller; nothing runs before {@link #start}. */
   public Controller(EventLoop loop, Settings settings, Client client, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
@@ -153,7 +153,7 @@
         () -> leader == null ? 0 : leader.cluster().dependencies().waitingCount());
   }
 
-  // Parts that tests look at
+  // Components that tests access
 
   PeerVoting peerVoting() {
     return peerVoting;
@@ -172,7 +172,8 @@
   }
 
   /**
-   * Starts everything but the servers; what is needed from outside is fetched in the background.
+   * Starts all components except the servers. Data from other services is fetched in the
+   * background.
    */
   public void start() {
     leadership.start();
@@ -182,7 +183,10 @@
     delayProbe.start();
   }
 
-  /** Opens both addresses. Users and workers share one, peers and operators the other. */
+  /**
+   * Starts the servers on both addresses: one is for users, workers and load balancers, the other
+   * for peers and operators.
+   */
   public void serve(IoEventLoopGroup group) throws InterruptedException {
     int sockets = settings.maxSockets();
     new HttpServer(this::handle, connectionLimit(sockets * 3 / 4))
@@ -195,21 +199,21 @@
     return new ConnectionLimit(Math.max(MIN_CONNECTIONS, connections));
   }
 
-  /** Handles a request of a user, a worker or a health check. */
+  /** Handles a request of a user, a worker or a load balancer. */
   public void handle(Request request, Responder responder) {
     router.handle(request, responder);
   }
 
-  /** Handles a request on the peers' address: of another controller or of an operator. */
+  /** Handles a request of a peer or an operator. */
   public void handlePeer(Request request, Responder responder) {
     if (!peerRequests.handle(request, responder) && !adminApi.handle(request, responder)) {
-      responder.error(404, "no such path");
+      responder.error(404, "no such path: " + request.path());
     }
   }
 
-  // The leader of this process
+  // Leading
 
-  /** The leader of this process while it may act, or null. */
+  /** Returns the leader of this process, or null unless it may act at this moment. */
   @Nullable Leader activeLeader() {
     return leader != null && leader.term().isActive() ? leader : null;
   }
@@ -240,7 +244,7 @@
   }
 
   @Override
-  public void onSteppedDown(String why) {
+  public void onSteppedDown(String reason) {
     state.setLeading(false);
     if (leader != null) {
       leader.end();
@@ -268,11 +272,11 @@
     }
   }
 
-  /** Hands on what a peer knows of cancellations, if the term still lasts. */
+  /** Passes a peer's report of cancellations to the leader, if it still leads the same term. */
   private void peerReportedCancellations(
-      long term, String peer, double requestedAt, double coveredSince, List<String> jobs) {
+      long term, String peer, double requestedAt, double completeSince, List<String> jobs) {
     if (leader != null && leadership.term() == term) {
-      leader.peerReportedCancellations(peer, requestedAt, coveredSince, jobs);
+      leader.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
     }
   }
 
--- a/src/main/java/org/saffronshore/control/EventLoopDelayProbe.java
+++ b/src/main/java/org/saffronshore/control/EventLoopDelayProbe.java
@@ -3,7 +3,9 @@
 import org.saffronshore.admin.Metrics;
 import org.saffronshore.http.EventLoop;
 
-/** Measures how late the event loop runs what is scheduled, which shows that it is overloaded. */
+/**
+ * Measures how late the event loop runs scheduled tasks. A long delay shows that it is overloaded.
+ */
 final class EventLoopDelayProbe {
   private final EventLoop loop;
   private final Metrics metrics;
@@ -15,7 +17,7 @@
     this.intervalS = intervalS;
   }
 
-  /** Measures once in each interval, from now on. */
+  /** Starts measuring, once per interval. */
   void start() {
     double dueAt = loop.now() + intervalS;
     loop.schedule(
--- a/src/main/java/org/saffronshore/control/HeartbeatService.java
+++ b/src/main/java/org/saffronshore/control/HeartbeatService.java
@@ -10,20 +10,20 @@
 import org.saffronshore.wire.CommandMessage;
 import org.saffronshore.wire.Heartbeat;
 
-/** Takes the heartbeats of workers, and responds to them for the controllers. */
+/** Handles the heartbeats of workers as the leader. */
 @NullMarked
 final class HeartbeatService {
   private final LeaderTerm term;
   private final Cluster cluster;
   private final Runnable dueWork;
 
-  /** The body of a response without commands, which most are. */
+  /** The body of a response without commands, encoded once because most responses are such. */
   private final byte[] emptyResponse;
 
   /**
    * Creates the service of one term.
    *
-   * @param dueWork is run after a heartbeat, before the response
+   * @param dueWork run after a heartbeat was received and before it is responded to
    */
   HeartbeatService(LeaderTerm term, Cluster cluster, Runnable dueWork) {
     this.term = term;
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Takes a heartbeat.
+   * Handles a heartbeat.
    *
-   * @return the body of the response; null when this controller may not respond for the controllers
-   *     now
+   * @return the body of the response; null if this controller may not respond as the leader at this
+   *     moment, or if the machine was removed
    */
   byte @Nullable [] handle(Heartbeat heartbeat) {
     if (term.stepDownIfSuperseded(heartbeat.machine(), heartbeat.fencingToken())) {
--- a/src/main/java/org/saffronshore/control/Leader.java
+++ b/src/main/java/org/saffronshore/control/Leader.java
@@ -17,9 +17,9 @@
 import org.saffronshore.wire.Heartbeat;
 
 /**
- * One term of this controller as leader. Wires the parts of the term, and runs the loops that bring
- * the cluster closer to what the open jobs need: tasks to machines, finished tasks to the state
- * service. It does nothing while the leadership does not hold.
+ * One term of this controller as leader. Wires the components of the term, and runs the control
+ * loops that place the tasks of open jobs on machines and save finished tasks in the state service.
+ * The loops do nothing while the controller may not act as leader.
  */
 @NullMarked
 final class Leader {
@@ -36,10 +36,10 @@
   private final Autoscaler autoscaler;
 
   /**
-   * Creates the parts of a term; nothing runs before {@link #start}.
+   * Creates the components of a term; nothing runs before {@link #start}.
    *
    * @param number the term's number
-   * @param leaderKeyVersion the version of the leader's key as this term wrote it
+   * @param leaderKeyVersion the version of the leader key that was written when this term began
    */
   Leader(LeaderServices services, long number, long leaderKeyVersion) {
     this.settings = services.settings();
@@ -99,7 +99,7 @@
     return term;
   }
 
-  /** Starts to recover the stored state, and all loops of the term. */
+  /** Starts the recovery of the stored state and all loops of the term. */
   void start() {
     failover.start();
     leadershipMonitor.start();
@@ -111,7 +111,7 @@
     autoscaler.start();
   }
 
-  /** This controller leads no more. */
+  /** Ends the term; called when this controller has stepped down. */
   void end() {
     term.markEnded();
     quotaMetrics.clear();
@@ -133,7 +133,7 @@
     failover.peerReportedCancellations(peer, requestedAt, completeSince, jobs);
   }
 
-  /** Counts of done and running tasks of all open jobs that have any. */
+  /** Returns the progress of all open jobs that have running or done tasks. */
   TermProgress progress() {
     Map<String, JobProgress> jobs = new LinkedHashMap<>();
     for (Job job : cluster.jobs()) {
@@ -145,7 +145,7 @@
     return new TermProgress(term.number(), jobs);
   }
 
-  /** Counts of done and running tasks of a job; none of one that is not open. */
+  /** Returns the progress of a job, or {@link JobProgress#NONE} if the job is not open. */
   JobProgress progress(String id) {
     Job job = cluster.job(id);
     return job == null ? JobProgress.NONE : progress(job);
@@ -155,7 +155,7 @@
     return new JobProgress(job.finishedTasks().cardinality(), job.runningTaskCount());
   }
 
-  /** Does everything that may have become due by a change of the cluster. */
+  /** Saves records, sends commands and requests a scheduling cycle if a change made them due. */
   private void runDueWork() {
     if (!term.isActive() || !term.hasLoadedRecords()) {
       return;
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Does what only the passing of time makes due. */
+  /** Does the work that becomes due by the passage of time; called periodically. */
   private void maintainCluster() {
     if (leadershipMonitor.yieldIfIsolated()) {
       return;
@@ -182,7 +182,10 @@
     runDueWork();
   }
 
-  /** What a cycle has placed and stopped is sent; what found no room is for the autoscaler. */
+  /**
+   * Saves the launch watermarks of placed tasks, sends the commands that start and stop tasks, and
+   * reports the unplaced tasks to the autoscaler.
+   */
   private void cycleCompleted(SchedulingPlan plan) {
     failover.saveLaunchWatermarks();
     commandSender.sendDue();
--- a/src/main/java/org/saffronshore/control/LeaderServices.java
+++ b/src/main/java/org/saffronshore/control/LeaderServices.java
@@ -12,7 +12,7 @@
 import org.saffronshore.state.JobStore;
 import org.saffronshore.state.StateClient;
 
-/** The parts of a controller that a term as leader uses; all of them outlive the term. */
+/** The components of a controller that a term uses. All of them outlive the term. */
 @NullMarked
 record LeaderServices(
     EventLoop loop,
--- a/src/main/java/org/saffronshore/control/LeadershipMonitor.java
+++ b/src/main/java/org/saffronshore/control/LeadershipMonitor.java
@@ -9,7 +9,7 @@
 import org.saffronshore.peer.PeerReachability;
 import org.saffronshore.state.StateClient;
 
-/** Steps down where another controller could do more with the leadership than this one. */
+/** Steps down, or yields the leadership, when another controller can lead better than this one. */
 @NullMarked
 final class LeadershipMonitor {
   private final EventLoop loop;
@@ -27,7 +27,8 @@
   /**
    * Creates the monitor of a term that begins now.
    *
-   * @param cancellationsReadAt as of when all cancellations were read from the state service
+   * @param cancellationsReadAt returns when the latest successful read of all cancellations from
+   *     the state service was requested, in seconds on the event loop's clock
    */
   LeadershipMonitor(
       EventLoop loop,
@@ -48,7 +49,7 @@
     this.startedAt = loop.now();
   }
 
-  /** Checks the state service for as long as the term lasts, also while it is not active. */
+  /** Checks the state service periodically until the term ends, even while it is not active. */
   void start() {
     loop.schedule(heartbeatIntervalS / 12, this::checkStateService);
   }
@@ -58,26 +59,27 @@
       return;
     }
     if (!term.holdsStoreLease()) {
-      // After an outage the lease is renewed before the jobs can have been read: that takes a
-      // moment.
+      // After an outage, the lease is renewed shortly before the jobs can be read. The deadline
+      // for reading them therefore starts when the lease is held again.
       lastWithoutStoreLeaseAt = loop.now();
     }
     double readableSince = Math.max(startedAt, lastWithoutStoreLeaseAt);
     if (loop.now()
         > Math.max(readableSince, cancellationsReadAt.getAsDouble()) + maxCancellationsAgeS) {
-      term.stepDown("cancellations cannot be read");
+      term.stepDown("cancellations could not be read from the state service in time");
     } else if (isStoreLeaseLostOnlyHere()) {
-      term.stepDown("the state service serves its peers, and not it");
+      term.stepDown("the state service responds to peers but not to this controller");
     } else {
       start();
     }
   }
 
   /**
-   * Whether the store lease is over while the state service serves others. The leases of peers are
-   * for an outage that all share; to go on with it here would only keep a successor waiting. Just
-   * after an outage some are served a moment before the leader is, so this must last for several of
-   * its tries.
+   * Returns whether this controller has lost its store lease while the state service responds to
+   * peers. The leases of peers are meant for outages that affect all controllers; to continue
+   * leading by them would only delay a successor. Shortly after an outage, the state service may
+   * respond to peers slightly earlier than to the leader, so the condition must hold for several
+   * attempts of the leader.
    */
   private boolean isStoreLeaseLostOnlyHere() {
     double now = loop.now();
@@ -89,15 +91,15 @@
   }
 
   /**
-   * Yields the leadership if this controller hears neither its peers nor most machines.
+   * Yields the leadership if no peer responds to this controller and most machines are silent.
    *
-   * @return whether it did
+   * @return whether the leadership was yielded
    */
   boolean yieldIfIsolated() {
     boolean isolated =
         peers.isIsolated(heartbeatIntervalS) && cluster.isMostlySilent(2 * heartbeatIntervalS);
     if (isolated) {
-      term.yieldLeadership("it hears neither its peers nor most machines");
+      term.yieldLeadership("no responses from peers and no heartbeats from most machines");
     }
     return isolated;
   }
--- a/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
+++ b/src/main/java/org/saffronshore/control/OperatorSettingsReader.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the operators' settings from the state service, and keeps what was read last. */
+/** Reads the operator settings from the state service, and keeps the latest valid ones. */
 @NullMarked
 final class OperatorSettingsReader {
   private static final Logger LOG = LoggerFactory.getLogger(OperatorSettingsReader.class);
@@ -21,21 +21,23 @@
   private OperatorSettings current = OperatorSettings.DEFAULTS;
 
   /**
-   * Creates a reader that has read nothing.
+   * Creates a reader; until the first read, the defaults are in force.
    *
-   * @param teams which teams the settings may name
+   * @param teams the teams that the settings may name
    */
   OperatorSettingsReader(StateClient state, Set<String> teams) {
     this.state = state;
     this.teams = teams;
   }
 
-  /** The settings in force: those that were read last, or the defaults. */
+  /** Returns the settings in force: the latest valid ones, or the defaults if none are stored. */
   OperatorSettings current() {
     return current;
   }
 
-  /** Reads the settings; those that cannot be read leave the current ones in force. */
+  /**
+   * Reads the settings. If the read fails or they are malformed, the current ones stay in force.
+   */
   void read() {
     state.get(Keys.OPERATOR_SETTINGS, RequestPriority.VITAL, this::apply);
   }
@@ -48,7 +50,8 @@
         current = OperatorSettings.DEFAULTS;
       }
     } catch (InvalidFieldException e) {
-      LOG.error("Stored operators' settings are ignored: reason={}", e.getMessage());
+      LOG.error(
+          "Malformed operator settings, keeping the previous ones: reason={}", e.getMessage());
     }
   }
 }
--- a/src/main/java/org/saffronshore/control/PeerLeadershipAdapter.java
+++ b/src/main/java/org/saffronshore/control/PeerLeadershipAdapter.java
@@ -5,7 +5,7 @@
 import org.saffronshore.leadership.LeaseRequest;
 import org.saffronshore.peer.PeerLeadership;
 
-/** Shows the messages between controllers the part of the leadership that concerns them. */
+/** Adapts {@link Leadership} to the interface that the messages between controllers use. */
 final class PeerLeadershipAdapter implements PeerLeadership {
   private final Leadership leadership;
 
@@ -29,15 +29,15 @@
       String incarnation,
       long term,
       boolean candidate,
-      boolean availableToPeer,
-      boolean available) {
+      boolean stateServiceAvailableToPeer,
+      boolean stateServiceAvailable) {
     LeaseRequest request =
         new LeaseRequest(
             new ControllerProcess(node, incarnation),
             term,
             candidate ? LeaseRequest.Role.CANDIDATE : LeaseRequest.Role.LEADER,
-            availableToPeer);
-    return leadership.grantLease(request, available);
+            stateServiceAvailableToPeer);
+    return leadership.grantLease(request, stateServiceAvailable);
   }
 
   @Override
--- a/src/main/java/org/saffronshore/control/QuotaMetrics.java
+++ b/src/main/java/org/saffronshore/control/QuotaMetrics.java
@@ -13,8 +13,9 @@
 import org.saffronshore.scheduling.Team;
 
 /**
- * Metrics of what counts against each team's quota, and of cycles in which a quota limited tasks:
- * of the last cycle of this controller, and nothing while it does not lead.
+ * Metrics of each team's quota: the usage that counted against it in the latest scheduling cycle of
+ * this controller, 0 while it does not lead, and the number of cycles in which the quota limited
+ * the team's tasks.
  */
 @NullMarked
 final class QuotaMetrics {
@@ -23,12 +24,12 @@
   private final Map<String, QuotaUsage> latestUsage = new HashMap<>();
   private final Map<String, LimitedCycles> limitedCycles = new HashMap<>();
 
-  /** Cycles in which a team's quota limited its tasks, by what used it up. */
+  /** The numbers of cycles in which a team's quota limited its tasks, by the cause. */
   private static final class LimitedCycles {
-    /** What is surely on machines was enough for that. */
+    /** The usage by known tasks was sufficient to limit them. */
     long byKnown;
 
-    /** Only with what unreconciled machines may hold. */
+    /** Only the usage by tasks that unreconciled machines may hold limited them. */
     long byUnreconciled;
   }
 
@@ -64,7 +65,7 @@
     return usage == null ? 0 : amount.applyAsDouble(resource.apply(usage));
   }
 
-  /** A cycle has ended: takes what counts now, with what the cycle placed. */
+  /** Records the quota usage after a cycle, including the placed tasks, and the limited teams. */
   void cycleCompleted(
       Collection<Team> teams, Collection<SchedulingPlan.QuotaLimitedTasks> limitedTasks) {
     teams.forEach(team -> latestUsage.put(team.quotaUsage().team(), team.quotaUsage()));
@@ -85,7 +86,7 @@
     }
   }
 
-  /** This controller does not lead any more. */
+  /** Clears the usage when this controller stops leading; the numbers of cycles are kept. */
   void clear() {
     latestUsage.clear();
   }
--- a/src/main/java/org/saffronshore/control/SchedulingLoop.java
+++ b/src/main/java/org/saffronshore/control/SchedulingLoop.java
@@ -20,12 +20,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One term's scheduling cycles: full ones once in a period, and others soon after a change. */
+/** Runs the scheduling cycles of one term: full cycles periodically, others soon after a change. */
 @NullMarked
 final class SchedulingLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-  /** Cycles that follow a change may take this share of the time: the rest is for heartbeats. */
+  /**
+   * The maximum fraction of time for the cycles that follow changes. The remaining time is for
+   * heartbeats.
+   */
   private static final double MAX_CYCLE_SHARE = 0.15;
 
   private final EventLoop loop;
@@ -43,8 +46,8 @@
   /**
    * Creates the loop of one term.
    *
-   * @param operatorSettings the settings in force
-   * @param onCycleCompleted receives the plan of each cycle, after the cluster has taken it
+   * @param operatorSettings supplies the operator settings in force
+   * @param onCycleCompleted receives the plan of each cycle after it was applied to the cluster
    */
   SchedulingLoop(
       EventLoop loop,
@@ -67,7 +70,7 @@
     this.minRequestDelayS = settings.heartbeatIntervalS() / 100;
   }
 
-  /** Runs a full cycle once in a period for as long as the term lasts. */
+  /** Runs full cycles periodically until the term ends. */
   void start() {
     loop.schedule(
         operatorSettings.get().scheduling().periodS(),
@@ -86,7 +89,10 @@
         });
   }
 
-  /** Something has changed: a cycle follows soon, one for all changes until then. */
+  /**
+   * Requests a cycle soon after a change. Further requests before it starts are covered by the same
+   * cycle.
+   */
   void requestCycle() {
     if (!cycleRequested) {
       cycleRequested = true;
@@ -100,9 +106,9 @@
   }
 
   /**
-   * Decides what starts and what stops, as far as this controller may act now.
+   * Runs a cycle and applies its plan, unless this controller may not act at this moment.
    *
-   * @param evict whether running tasks compete for their places again
+   * @param evict whether running tasks are evicted in memory and compete for machines again
    */
   private void runCycle(boolean evict) {
     term.detectPause();
@@ -152,7 +158,7 @@
     }
   }
 
-  /** Logs one line for each team that its quota limits in a cycle, however many jobs that is. */
+  /** Logs one line per team that its quota limits in a cycle, regardless of the number of jobs. */
   private void logQuotaLimited(SchedulingPlan plan) {
     if (!LOG.isDebugEnabled()) {
       return;
--- a/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
+++ b/src/main/java/org/saffronshore/peer/HeartbeatRelay.java
@@ -5,25 +5,25 @@
 import org.saffronshore.config.Peer;
 import org.saffronshore.config.Settings;
 
-/** Relays heartbeats of workers that cannot reach the leader. */
+/** Relays the heartbeats of workers that cannot reach the leader. */
 public final class HeartbeatRelay {
   private final PeerClient peerClient;
   private final double timeoutS;
 
-  /** Gives the leader less time than a worker waits. */
+  /** Creates a relay whose timeout is shorter than the time that a worker waits for a response. */
   public HeartbeatRelay(PeerClient peerClient, Settings settings) {
     this.peerClient = peerClient;
     this.timeoutS = settings.heartbeatIntervalS() * 2 / 3;
   }
 
   /**
-   * Sends a heartbeat to the leader.
+   * Sends a worker's heartbeat to the leader.
    *
    * @param heartbeat the body as the worker sent it
-   * @param receiver gets the body of the leader's response; empty when there is none in time, or
-   *     when the leader is not among the peers
+   * @param callback receives the body of the leader's response; empty if the leader does not
+   *     respond in time or responds with an error, or if it is not one of the peers
    */
-  public void relay(String leaderNode, byte[] heartbeat, Consumer<Optional<byte[]>> receiver) {
+  public void relay(String leaderNode, byte[] heartbeat, Consumer<Optional<byte[]>> callback) {
     for (Peer peer : peerClient.peers()) {
       if (peer.node().equals(leaderNode)) {
         peerClient.post(
@@ -32,10 +32,10 @@
             heartbeat,
             timeoutS,
             response ->
-                receiver.accept(response.ok() ? Optional.of(response.body()) : Optional.empty()));
+                callback.accept(response.ok() ? Optional.of(response.body()) : Optional.empty()));
         return;
       }
     }
-    receiver.accept(Optional.empty());
+    callback.accept(Optional.empty());
   }
 }
--- a/src/main/java/org/saffronshore/peer/JobProgress.java
+++ b/src/main/java/org/saffronshore/peer/JobProgress.java
@@ -1,12 +1,12 @@
 package org.saffronshore.peer;
 
 /**
- * The progress of a job, as shown to users.
+ * The progress of a job as users see it.
  *
- * @param done how many of its tasks are done
- * @param running how many of its tasks run
+ * @param done the number of its tasks that are done
+ * @param running the number of its tasks that are running
  */
 public record JobProgress(int done, int running) {
-  /** Nothing is known to run or to be done. */
+  /** The progress of a job of which no task is known to be running or done. */
   public static final JobProgress NONE = new JobProgress(0, 0);
 }
--- a/src/main/java/org/saffronshore/peer/JobProgressCache.java
+++ b/src/main/java/org/saffronshore/peer/JobProgressCache.java
@@ -2,12 +2,18 @@
 
 import java.util.Map;
 
-/** The progress of jobs as the leader last sent it, for the users that poll other controllers. */
+/**
+ * Caches the progress of jobs that the leader last sent, so that a controller which does not lead
+ * can respond to polls.
+ */
 public final class JobProgressCache {
   private long term;
   private Map<String, JobProgress> jobs = Map.of();
 
-  /** Records what a message of a leader holds, unless one of a later term arrived before. */
+  /**
+   * Replaces the cached progress with that in a leader's message. A message without progress is
+   * ignored, and so is one of an earlier term than the cached progress.
+   */
   void update(PeerMessage message) {
     if (message.jobProgress() != null && message.term() >= term) {
       term = message.term();
@@ -15,7 +21,7 @@
     }
   }
 
-  /** The progress of a job; nothing where none was sent. */
+  /** Returns the progress of a job, or {@link JobProgress#NONE} if the leader sent none. */
   public JobProgress progress(String job) {
     return jobs.getOrDefault(job, JobProgress.NONE);
   }
--- a/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
+++ b/src/main/java/org/saffronshore/peer/OutdatedMessageDetector.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * Detects messages that are copies, or that were overtaken by a later one of the same process. A
- * late withdrawal of a candidate that has campaigned again since, and leads, would otherwise
- * release the leases that it leads on.
+ * Detects duplicate messages, and messages that arrive after a later message of the same process.
+ * Otherwise a delayed withdrawal would release the leases of a candidate that has since campaigned
+ * again and now leads by those leases.
  */
 final class OutdatedMessageDetector {
-  /** Earlier processes of a controller whose messages are still recognized. */
+  /** The average number of processes per controller whose latest sequence numbers are kept. */
   private static final int PROCESSES_PER_CONTROLLER = 16;
 
-  /** One process of a controller. */
+  /** A process of a controller that sends messages. */
   private record Sender(String node, String incarnation) {}
 
-  /** The sequence number of the latest message of each process, in order of use. */
+  /** The sequence number of the latest message of each process; least recently used first. */
   private final Map<Sender, Long> latestSequences;
 
   OutdatedMessageDetector(int controllerCount) {
@@ -30,7 +30,10 @@
         };
   }
 
-  /** Whether the message is outdated; one that is not is the latest of its process from then on. */
+  /**
+   * Returns whether the message is outdated. If it is not, it becomes the latest message of its
+   * process.
+   */
   boolean isOutdated(PeerMessage message) {
     Sender sender = new Sender(message.senderNode(), message.senderIncarnation());
     Long latest = latestSequences.get(sender);
--- a/src/main/java/org/saffronshore/peer/PeerClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerClient.java
@@ -18,7 +18,7 @@
   private final Client client;
   private final List<Peer> peers;
 
-  /** Sends by this client to the peers that the settings name. */
+  /** Creates a client for the peers in the settings. */
   public PeerClient(Client client, Settings settings) {
     this.client = client;
     this.peers = settings.peers();
@@ -29,21 +29,23 @@
   }
 
   /**
-   * Sends a message to one peer.
+   * Sends a message to a peer.
    *
-   * @param receiver gets the response, or empty when there is none in time or none that can be read
+   * @param callback receives the response; empty if the peer does not respond in time, responds
+   *     with an error, or sends a malformed response
    */
   void send(
       Peer peer,
       String path,
       byte[] message,
       double timeoutS,
-      Consumer<Optional<PeerResponse>> receiver) {
-    post(peer, path, message, timeoutS, response -> receiver.accept(parse(peer, response)));
+      Consumer<Optional<PeerResponse>> callback) {
+    post(peer, path, message, timeoutS, response -> callback.accept(parse(peer, response)));
   }
 
-  void post(Peer peer, String path, byte[] body, double timeoutS, Response.Callback receiver) {
-    client.send(peer.address(), "POST", path, body, timeoutS, receiver);
+  /** Sends a body to a peer, and hands the response to the callback as it is. */
+  void post(Peer peer, String path, byte[] body, double timeoutS, Response.Callback callback) {
+    client.send(peer.address(), "POST", path, body, timeoutS, callback);
   }
 
   private static Optional<PeerResponse> parse(Peer peer, Response response) {
--- a/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
+++ b/src/main/java/org/saffronshore/peer/PeerHeartbeats.java
@@ -8,23 +8,27 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * Sends heartbeats to the peers. Those of a leader hold the progress of its jobs, and ask for the
- * peers' leases and for what they know of cancellations.
+ * Sends heartbeats to the peers periodically. The heartbeats of a leader contain the progress of
+ * its jobs, and request the peers' leases and the cancellations that the peers know of.
  */
 public final class PeerHeartbeats {
 
-  /** Receives what peers know of cancellations. */
+  /** Receives the cancellations that peers know of. */
   @FunctionalInterface
   public interface CancellationListener {
     /**
-     * A peer has responded to a heartbeat.
+     * Called when a peer has reported cancellations in its response to a heartbeat.
      *
-     * @param term the term that this controller led when it sent the heartbeat
-     * @param requestedAt when it sent the heartbeat
-     * @param coveredSince since when no cancellation that the peer learned of is missing
+     * @param term the latest term that this controller had led when it sent the heartbeat
+     * @param peer the peer's node name
+     * @param requestedAt when this controller sent the heartbeat, in seconds on the event loop's
+     *     clock
+     * @param completeSince the time since which no cancellation that the peer learned of is missing
+     *     in the report, in seconds on the event loop's clock
+     * @param jobs the ids of the cancelled jobs
      */
     void onCancellations(
-        long term, String peer, double requestedAt, double coveredSince, List<String> jobs);
+        long term, String peer, double requestedAt, double completeSince, List<String> jobs);
   }
 
   private final EventLoop loop;
@@ -38,8 +42,10 @@
   private final double intervalS;
 
   /**
-   * @param leaderProgress the term and progress of this leader; empty while this controller may not
-   *     act as one
+   * Creates the heartbeats of this controller; nothing is sent before {@link #start}.
+   *
+   * @param leaderProgress supplies the term that this controller leads and the progress of its
+   *     jobs; empty while it may not act as leader
    */
   public PeerHeartbeats(
       EventLoop loop,
@@ -62,7 +68,7 @@
     this.intervalS = PeerProtocol.heartbeatIntervalS(settings);
   }
 
-  /** Begins to send. */
+  /** Starts sending heartbeats. */
   public void start() {
     loop.scheduleWithFixedDelay(intervalS, this::sendToAll);
   }
@@ -92,8 +98,8 @@
     }
     PeerResponse.Cancellations known = response.cancellations();
     if (known != null) {
-      double coveredSince = loop.now() - Settings.minLocalDuration(known.completeForS());
-      cancellationListener.onCancellations(term, peer.node(), sentAt, coveredSince, known.jobs());
+      double completeSince = loop.now() - Settings.minLocalDuration(known.completeForS());
+      cancellationListener.onCancellations(term, peer.node(), sentAt, completeSince, known.jobs());
     }
   }
 }
--- a/src/main/java/org/saffronshore/peer/PeerLeadership.java
+++ b/src/main/java/org/saffronshore/peer/PeerLeadership.java
@@ -1,31 +1,40 @@
 package org.saffronshore.peer;
 
-/** The leadership of this controller, as far as messages between controllers concern it. */
+/** The part of this controller's leadership that messages between controllers use and change. */
 public interface PeerLeadership {
-  /** The latest term that this controller led. */
+  /** Returns the latest term that this controller led. */
   long term();
 
-  /** A peer granted its lease to this leader, which had requested it at that moment. */
+  /**
+   * Records that a peer granted its lease to this leader.
+   *
+   * @param peer the peer's node name
+   * @param requestedAt when the request was sent, in seconds on the event loop's clock
+   */
   void recordGrant(String peer, double requestedAt);
 
   /**
-   * Whether this controller grants its lease to a peer.
+   * Grants this controller's lease to a peer, unless a rule forbids it.
    *
-   * @param node the peer
+   * @param node the peer's node name
    * @param incarnation the peer's process
-   * @param term the term that the peer leads, or wants to lead
+   * @param term the term that the peer leads or is a candidate for
    * @param candidate whether the peer is a candidate and does not lead yet
-   * @param availableToPeer whether the state service responds to the peer
-   * @param available whether the state service responds to this controller
+   * @param stateServiceAvailableToPeer whether the state service responds to the peer
+   * @param stateServiceAvailable whether the state service responds to this controller
+   * @return whether the lease was granted or renewed
    */
   boolean grantLease(
       String node,
       String incarnation,
       long term,
       boolean candidate,
-      boolean availableToPeer,
-      boolean available);
+      boolean stateServiceAvailableToPeer,
+      boolean stateServiceAvailable);
 
-  /** A candidate or leader has withdrawn: a lease that it was granted is released. */
+  /**
+   * Releases the lease that this controller granted to a candidate or leader, which has withdrawn
+   * from the term.
+   */
   void recordWithdrawal(String node, String incarnation, long term);
 }
--- a/src/main/java/org/saffronshore/peer/PeerMessage.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessage.java
@@ -10,18 +10,20 @@
 import org.saffronshore.wire.Json;
 
 /**
- * What one controller sends to another: heartbeats, requests for a vote, withdrawals. Responses
- * begin with the same fields.
+ * A message between controllers: a heartbeat, a request for a vote or a withdrawal. A {@link
+ * PeerResponse} contains the same fields.
  *
- * @param node the sender's name; null only in a response that lacks it
+ * @param node the sender's node name; null only in a response that lacks it
  * @param incarnation distinguishes the sending process from earlier ones of the same controller;
  *     null only in a response that lacks it
- * @param sequence rises with every message of a process, so that copies and late messages are
- *     recognized
+ * @param sequence increases with every message of a process, so that the receiver can detect
+ *     duplicate and late messages
  * @param stateServiceAvailable whether the state service responds to the sender
- * @param stateServiceAvailableAgoS how long ago it last did
- * @param term the term that the sender leads or wants to lead, or {@link #NO_TERM}
- * @param jobProgress the progress of jobs by their ids, from a leader only; null otherwise
+ * @param stateServiceAvailableAgoS how long ago the state service last responded to the sender, in
+ *     seconds
+ * @param term the term that the sender leads, is a candidate for or withdraws from, or {@link
+ *     #NO_TERM}
+ * @param jobProgress the progress of jobs by id, from a leader only; null otherwise
  */
 public record PeerMessage(
     @Nullable String node,
@@ -32,13 +34,18 @@
     long term,
     @Nullable Map<String, JobProgress> jobProgress) {
 
-  /** The term of a sender that neither leads nor wants to. */
+  /** The term in a message that is not about one, as from a sender that does not lead. */
   public static final long NO_TERM = -1;
 
-  /** Longer ago than this counts as never; infinity cannot be sent. */
+  /** The value that is sent for all longer durations, since infinity cannot be sent. */
   private static final double MAX_AGO_S = 1e9;
 
-  /** Reads a message; one without a sender is refused. */
+  /**
+   * Reads a message.
+   *
+   * @throws InvalidFieldException if the body is not an object in CBOR, or does not name the
+   *     sender's node and process
+   */
   public static PeerMessage parse(byte @Nullable [] body) throws InvalidFieldException {
     JsonNode message = body == null ? null : Json.parseCbor(body);
     if (message == null || !message.isObject()) {
@@ -46,15 +53,15 @@
     }
     PeerMessage parsed = parse(message);
     if (parsed.node == null) {
-      throw new InvalidFieldException("node", "is missing");
+      throw new InvalidFieldException("node", "is missing or not a text");
     }
     if (parsed.incarnation == null) {
-      throw new InvalidFieldException("life", "is missing");
+      throw new InvalidFieldException("life", "is missing or not a text");
     }
     return parsed;
   }
 
-  /** Reads the fields that messages and responses have in common. */
+  /** Reads the fields that messages and responses share. */
   static PeerMessage parse(JsonNode message) {
     return new PeerMessage(
         Json.text(message, "node"),
@@ -78,21 +85,22 @@
     return progress;
   }
 
-  /** The sender's name, of a message that was read by {@link #parse(byte[])}. */
+  /** Returns the sender's node name. Only for a message read by {@link #parse(byte[])}. */
   String senderNode() {
     return Objects.requireNonNull(node);
   }
 
-  /** The sender's incarnation, of a message that was read by {@link #parse(byte[])}. */
+  /** Returns the sender's incarnation. Only for a message read by {@link #parse(byte[])}. */
   String senderIncarnation() {
     return Objects.requireNonNull(incarnation);
   }
 
-  /** The form in which it is sent. */
+  /** Returns the message in the form in which it is sent. */
   public byte[] toCbor() {
     return Json.cbor(toTree());
   }
 
+  /** Returns the fields of the message, to which a response adds its own. */
   ObjectNode toTree() {
     ObjectNode tree =
         Json.object()
--- a/src/main/java/org/saffronshore/peer/PeerMessageFactory.java
+++ b/src/main/java/org/saffronshore/peer/PeerMessageFactory.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.saffronshore.state.StateServiceMonitor;
 
-/** Makes the messages of this process, each with the next sequence number. */
+/** Creates the messages of this process, each with the next sequence number. */
 public final class PeerMessageFactory {
   private final String node;
   private final Supplier<String> incarnation;
@@ -13,7 +13,9 @@
   private long lastSequence;
 
   /**
-   * @param node the name of this controller
+   * Creates a factory whose first message has the sequence number 1.
+   *
+   * @param node the node name of this controller
    * @param incarnation distinguishes this process from earlier ones of the same controller
    */
   public PeerMessageFactory(
@@ -23,17 +25,17 @@
     this.stateService = stateService;
   }
 
-  /** A message of a controller that neither leads nor wants to. */
+  /** Creates a message that is not about a term. */
   PeerMessage create() {
     return create(PeerMessage.NO_TERM, null);
   }
 
-  /** A message of a candidate for that term, or of one that withdraws. */
+  /** Creates a message of a candidate for a term, or of a process that withdraws from it. */
   PeerMessage forCandidate(long term) {
     return create(term, null);
   }
 
-  /** A message of the leader of a term. */
+  /** Creates a heartbeat of the leader of a term. */
   PeerMessage forLeader(TermProgress progress) {
     return create(progress.term(), progress.jobs());
   }
--- a/src/main/java/org/saffronshore/peer/PeerProtocol.java
+++ b/src/main/java/org/saffronshore/peer/PeerProtocol.java
@@ -9,12 +9,15 @@
   static final String VOTE_PATH = "/peer/vote";
   static final String WITHDRAWAL_PATH = "/peer/giveup";
 
-  /** Takes the JSON of the workers' protocol; all other paths take {@link PeerMessage}s. */
+  /**
+   * The path of relayed heartbeats of workers. It accepts the JSON of the workers' protocol, while
+   * all other paths accept a {@link PeerMessage}.
+   */
   static final String RELAY_PATH = "/peer/report";
 
   private PeerProtocol() {}
 
-  /** The time between two heartbeats of a controller. */
+  /** Returns the time between two heartbeats of a controller to its peers, in seconds. */
   static double heartbeatIntervalS(Settings settings) {
     return settings.heartbeatIntervalS() / 3;
   }
--- a/src/main/java/org/saffronshore/peer/PeerReachability.java
+++ b/src/main/java/org/saffronshore/peer/PeerReachability.java
@@ -7,16 +7,16 @@
 import org.saffronshore.http.EventLoop;
 
 /**
- * When peers last responded or sent a message, and when the state service last responded to them by
- * their messages.
+ * Tracks when peers last responded or sent a message, and when the state service last responded to
+ * them, according to what they send. All times are seconds on the event loop's clock.
  */
 public final class PeerReachability {
-  /** A peer that left so many heartbeats without a response is not waited for. */
+  /** The number of intervals without a response after which a peer is not waited for. */
   private static final int MAX_MISSED_HEARTBEATS = 3;
 
   /**
-   * Beyond so many intervals the state service responded to a peer, and not to this controller, for
-   * another reason than chance.
+   * By how many intervals a peer's last response of the state service must be later than this
+   * controller's. A smaller lead may be due to chance.
    */
   private static final int MIN_LEAD_INTERVALS = 2;
 
@@ -24,19 +24,22 @@
   private final boolean hasPeers;
   private final double intervalS;
 
-  /** When any peer last responded to a message of this controller. */
+  /** The time at which any peer last responded to a message of this controller. */
   private double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-  /** When a peer last sent a message by itself. */
+  /** The time at which any peer last sent a message of its own. */
   private double lastMessageAt = Double.NEGATIVE_INFINITY;
 
-  /** When each peer last responded; one that is not here may not have been sent anything yet. */
+  /**
+   * The time at which each peer last responded. A peer without an entry may not have been sent a
+   * message yet.
+   */
   private final Map<String, Double> lastResponseAtByPeer = new HashMap<>();
 
-  /** When the state service last responded to each peer. */
+  /** The time at which the state service last responded to each peer. */
   private final Map<String, Double> stateServiceAvailableAtByPeer = new HashMap<>();
 
-  /** Begins without any response or message. */
+  /** Creates a tracker without any recorded response or message. */
   public PeerReachability(EventLoop loop, Settings settings) {
     this.loop = loop;
     this.hasPeers = !settings.peers().isEmpty();
@@ -52,7 +55,7 @@
     lastMessageAt = loop.now();
   }
 
-  /** Records what a message or response says of its sender and the state service. */
+  /** Records when the state service last responded to the sender of a message or response. */
   void recordStateServiceAvailability(PeerMessage message) {
     if (message.node() != null) {
       stateServiceAvailableAtByPeer.merge(
@@ -60,29 +63,36 @@
     }
   }
 
-  /** Whether a response of this peer is to be waited for: not when it has missed several. */
+  /**
+   * Returns whether a response of the peer is worth waiting for. It is not once the peer has not
+   * responded for {@link #MAX_MISSED_HEARTBEATS} intervals; a peer that never responded is waited
+   * for, since it may not have been sent a message yet.
+   */
   boolean isResponseExpected(Peer peer) {
     return loop.now()
         < lastResponseAtByPeer.getOrDefault(peer.node(), Double.POSITIVE_INFINITY)
             + MAX_MISSED_HEARTBEATS * intervalS;
   }
 
-  /** Whether there are peers, and none has responded for so many seconds. */
-  public boolean isIsolated(double forS) {
-    return hasPeers && loop.now() > lastResponseAt + forS;
+  /** Returns whether there are peers, and none has responded for the given time in seconds. */
+  public boolean isIsolated(double durationS) {
+    return hasPeers && loop.now() > lastResponseAt + durationS;
   }
 
-  /** Whether there are peers, and none has responded or sent a message for so many seconds. */
-  public boolean isCutOff(double forS) {
-    return isIsolated(forS) && loop.now() > lastMessageAt + forS;
+  /**
+   * Returns whether there are peers, and none has responded or sent a message for the given time in
+   * seconds.
+   */
+  public boolean isCutOff(double durationS) {
+    return isIsolated(durationS) && loop.now() > lastMessageAt + durationS;
   }
 
   /**
-   * Whether the state service has responded to some peer since that moment, and for some time after
-   * it.
+   * Returns whether the state service has responded to any peer more than {@link
+   * #MIN_LEAD_INTERVALS} intervals after the given time.
    */
-  public boolean stateServiceServedAnyPeerSince(double moment) {
+  public boolean stateServiceServedAnyPeerSince(double time) {
     return stateServiceAvailableAtByPeer.values().stream()
-        .anyMatch(availableAt -> availableAt > moment + MIN_LEAD_INTERVALS * intervalS);
+        .anyMatch(availableAt -> availableAt > time + MIN_LEAD_INTERVALS * intervalS);
   }
 }
--- a/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
+++ b/src/main/java/org/saffronshore/peer/PeerRequestHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Handles what other controllers send. */
+/** Handles the messages of other controllers and the heartbeats of workers that they relay. */
 public final class PeerRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerRequestHandler.class);
 
@@ -24,10 +24,13 @@
   private final OutdatedMessageDetector outdatedMessages;
 
   /**
-   * @param knownCancellations what this process knows of cancellations. A leader may be refused by
-   *     the state service while this controller is not: so it stops the tasks at once, and, as far
-   *     back as nothing is missing, may renew the leases of others in an outage
-   * @param relayedHeartbeatHandler handles heartbeats of workers that a peer relays
+   * Creates the handler of this process.
+   *
+   * @param knownCancellations supplies the cancellations that this process knows of. The state
+   *     service may refuse the leader but serve this controller. With this list, the leader stops
+   *     the tasks of cancelled jobs at once, and may renew the leases of other tasks in an outage
+   *     as long as no cancellation is missing
+   * @param relayedHeartbeatHandler handles the heartbeats of workers that peers relay
    */
   public PeerRequestHandler(
       Settings settings,
@@ -48,7 +51,12 @@
     this.outdatedMessages = new OutdatedMessageDetector(settings.controllerCount());
   }
 
-  /** Handles a request of a peer; false when the path is none of the protocol's. */
+  /**
+   * Handles a request of a peer.
+   *
+   * @return false if the path is not one of the protocol between controllers; the request is then
+   *     not handled
+   */
   public boolean handle(Request request, Responder responder) {
     switch (request.path()) {
       case PeerProtocol.RELAY_PATH -> relayedHeartbeatHandler.accept(request, responder);
--- a/src/main/java/org/saffronshore/peer/PeerResponse.java
+++ b/src/main/java/org/saffronshore/peer/PeerResponse.java
@@ -12,22 +12,28 @@
 /**
  * The response of a controller to a {@link PeerMessage}.
  *
- * @param sender the responding controller; its node and incarnation may be null
- * @param leaseGranted whether it grants its lease to the sender of the message
- * @param cancellations what it knows of cancellations, for a leader only; null otherwise
+ * @param sender the fields about the responding controller, whose node and incarnation may be null
+ * @param leaseGranted whether the responding controller grants its lease to the sender of the
+ *     message
+ * @param cancellations the cancellations that the responding controller knows of, if the message is
+ *     from a leader; null otherwise
  */
 public record PeerResponse(
     PeerMessage sender, boolean leaseGranted, @Nullable Cancellations cancellations) {
 
   /**
-   * The cancellations that a controller learned of lately.
+   * The cancellations that a controller learned of recently.
    *
-   * @param jobs the cancelled jobs
-   * @param completeForS for how many seconds back none is missing
+   * @param jobs the ids of the cancelled jobs
+   * @param completeForS the duration up to now for which no cancellation is missing, in seconds
    */
   public record Cancellations(List<String> jobs, double completeForS) {}
 
-  /** Reads a response; fields that an earlier version does not send are taken as not known. */
+  /**
+   * Reads a response. Fields that an earlier version does not send count as unknown.
+   *
+   * @throws InvalidFieldException if the body is not an object in CBOR
+   */
   public static PeerResponse parse(byte @Nullable [] body) throws InvalidFieldException {
     JsonNode response = body == null ? null : Json.parseCbor(body);
     if (response == null || !response.isObject()) {
@@ -46,7 +52,7 @@
     return new Cancellations(jobs, Json.number(response, "cancelled_s", 0));
   }
 
-  /** The form in which it is sent. */
+  /** Returns the response in the form in which it is sent. */
   public byte[] toCbor() {
     ObjectNode tree = sender.toTree();
     if (cancellations != null) {
--- a/src/main/java/org/saffronshore/peer/PeerVotingClient.java
+++ b/src/main/java/org/saffronshore/peer/PeerVotingClient.java
@@ -11,7 +11,7 @@
 import org.saffronshore.config.Settings;
 import org.saffronshore.leadership.PeerVoting;
 
-/** Requests votes of the peers for a candidate, and tells them when it withdraws. */
+/** Requests the votes of the peers for a candidate, and tells the peers when it withdraws. */
 public final class PeerVotingClient implements PeerVoting {
   private final PeerClient peerClient;
   private final PeerMessageFactory messages;
@@ -19,7 +19,10 @@
   private final double voteTimeoutS;
   private final double withdrawalTimeoutS;
 
-  /** Votes are worth something only while the candidate's time for a campaign lasts. */
+  /**
+   * Creates a client. Its timeout for votes is short, since a vote counts only in the campaign for
+   * which it was requested.
+   */
   public PeerVotingClient(
       Settings settings,
       PeerClient peerClient,
@@ -52,7 +55,7 @@
     count.completeIfDecided();
   }
 
-  /** The vote in a response; empty when the response does not say which process it is from. */
+  /** Returns the vote in a response, or empty if the response does not name its process. */
   private Optional<Vote> toVote(Peer peer, PeerResponse response) {
     String incarnation = response.sender().incarnation();
     if (incarnation == null) {
@@ -70,15 +73,16 @@
     }
   }
 
-  /** The votes of one campaign, which are handed on once. */
+  /** Collects the votes of one campaign, and reports them once. */
   private final class VoteCount {
     private final Predicate<List<Vote>> isDecided;
     private final Consumer<List<Vote>> onVotesReceived;
     private final List<Vote> votes = new ArrayList<>();
 
     /**
-     * Those whose vote is waited for. Peers that have been unreachable for a while are requested
-     * too, but the leases of the others are not held for them.
+     * The peers whose votes are awaited. A peer that has not responded for a while is also sent a
+     * request, but is not awaited, since the leases that other peers have granted would be tied up
+     * in the meantime.
      */
     private final Set<Peer> awaitedPeers = new HashSet<>(peerClient.peers());
 
--- a/src/main/java/org/saffronshore/peer/TermProgress.java
+++ b/src/main/java/org/saffronshore/peer/TermProgress.java
@@ -3,10 +3,9 @@
 import java.util.Map;
 
 /**
- * How far the jobs of a leader are.
+ * The progress of a leader's jobs.
  *
- * @param term the term that it leads
- * @param jobs the progress of jobs by their ids; those of which no task is done or runs are left
- *     out
+ * @param term the term that the leader leads
+ * @param jobs the progress of jobs by id, without jobs of which no task is running or done
  */
 public record TermProgress(long term, Map<String, JobProgress> jobs) {}
--- a/src/main/java/org/saffronshore/peer/package-info.java
+++ b/src/main/java/org/saffronshore/peer/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The messages between controllers and what follows from them: heartbeats with the progress of the
- * leader's jobs and with cancellations, votes and withdrawals of candidates, and heartbeats of
+ * The protocol between controllers: heartbeats, which exchange the progress of the leader's jobs,
+ * leases and cancellations; requests for votes and withdrawals of candidates; and heartbeats of
  * workers that are relayed to the leader.
  *
- * <p>The names on the wire stand only in {@link org.saffronshore.peer.PeerMessage}, {@link
+ * <p>The names on the wire are defined only in {@link org.saffronshore.peer.PeerMessage}, {@link
  * org.saffronshore.peer.PeerResponse} and {@link org.saffronshore.peer.PeerProtocol}. The package
- * implements the voting that {@code leadership} needs, and reaches the leadership, the store and
- * the leader of this process only through narrow interfaces that {@code control} provides.
+ * implements the voting interface of {@code leadership}, and accesses the leadership, the job store
+ * and the leader of this process only through narrow interfaces that {@code control} provides.
  */
 @NullMarked
 package org.saffronshore.peer;
