--- a/src/main/java/org/saffronshore/api/RequestRouter.java
+++ b/src/main/java/org/saffronshore/api/RequestRouter.java
@@ -38,14 +38,14 @@
    */
   public RequestRouter(
       EventLoop loop, int maxSockets, UserApi userApi, WorkerApi workerApi, HealthCheck health) {
-    int queued = Math.max(MIN_QUEUE_CAPACITY, (int) (maxSockets * QUEUE_CAPACITY_FRACTION));
+    int queueCapacity = Math.max(MIN_QUEUE_CAPACITY, (int) (maxSockets * QUEUE_CAPACITY_FRACTION));
     this.admission =
         new AdmissionQueue(
             loop,
             Map.of(
                 RequestClass.HEARTBEAT, maxSockets,
-                RequestClass.DECISION, queued,
-                RequestClass.SUBMISSION, queued));
+                RequestClass.DECISION, queueCapacity,
+                RequestClass.SUBMISSION, queueCapacity));
     this.userApi = userApi;
     this.workerApi = workerApi;
     this.health = health;
