--- a/src/test/java/org/saffronshore/control/ChainedJobsTest.java
+++ b/src/test/java/org/saffronshore/control/ChainedJobsTest.java
@@ -90,11 +90,11 @@
     RESPONSE_LOST,
     EXECUTION_DELAYED
   }
+
   /**
    * The transaction with the outcome of a job times out: its response is lost, or it is executed
    * late. Dependent jobs must not start before the outcome is known to be committed.
    */
-
   @ParameterizedTest
   @EnumSource
   void dependentJobWaitsUntilTheOutcomeIsKnownToBeCommitted(CommitFault fault) {
